--- a/crates/gateway/src/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -1,10 +1,11 @@
-//! The clock of a gateway: Unix time, which all gateways share, and which never goes back.
+//! A gateway's clock: monotonic Unix time, comparable between gateways.
 
 use lanespan_policy::Micros;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// Unix time that never goes back: the system's clock is read once, from then on the monotonic clock counts.
+/// Monotonic Unix time: the system clock is read once, and the time elapsed since then is measured with the monotonic
+/// clock.
 #[derive(Clone, Copy)]
 pub struct Clock {
     base: Micros,
@@ -12,7 +13,7 @@
 }
 
 impl Clock {
-    /// Reads the system's clock once, and adds an offset in milliseconds.
+    /// Starts the clock at the system time plus an offset in milliseconds.
     pub fn start(offset_ms: i64) -> Clock {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let offset_micros = offset_ms.saturating_mul(1_000);
@@ -20,17 +21,17 @@
         Clock { base, start: Instant::now() }
     }
 
-    /// The time now.
+    /// Returns the current time.
     pub fn now(&self) -> Micros {
         self.at(Instant::now())
     }
 
-    /// The time on this clock at an instant.
+    /// Converts an instant to this clock's time.
     pub fn at(&self, instant: Instant) -> Micros {
         self.base + Micros(instant.saturating_duration_since(self.start).as_micros() as u64)
     }
 
-    /// The instant at which this clock shows a time.
+    /// Converts this clock's time to an instant.
     pub fn instant(&self, time: Micros) -> Instant {
         self.start + Duration::from_micros((time - self.base).0)
     }
--- a/crates/gateway/src/driver.rs
+++ b/crates/gateway/src/driver.rs
@@ -1,5 +1,5 @@
-//! The one owner of the policy engine: it turns what happens on sockets into events, carries out the engine's actions
-//! and fires its timers. It translates and never decides.
+//! The driver owns the policy engine. It converts socket activity into engine events, carries out the engine's actions
+//! and fires its timers. All policy decisions are made by the engine.
 
 mod attempts;
 mod counter_calls;
@@ -33,43 +33,43 @@
 use timers::Timers;
 use tokio::sync::mpsc;
 use tokio::time::{interval, sleep_until, Instant};
-use views::{OperatorViews, Parts};
+use views::{DriverState, OperatorViews};
 
-/// How many events may wait for the driver. Who sends one more waits too.
+/// Capacity of the driver's event queue. Senders wait while it is full.
 const MAX_PENDING_EVENTS: usize = 1024;
-/// How often idle connections are checked.
+/// How often the pool's idle connections are checked.
 const RETIRE_INTERVAL: Duration = Duration::from_secs(1);
-/// How often connections are opened ahead of need.
+/// How often connections to backends are opened in advance.
 const PRECONNECT_INTERVAL: Duration = Duration::from_millis(250);
-/// The shortest tick. A gateway that calls its engine without pause would only burn its core.
+/// Lower bound of the tick. A shorter one would keep a core busy running the engine without any benefit.
 const MIN_TICK: Duration = Duration::from_millis(1);
-/// How long a gateway with a saved endpoint list waits for discovery before it is ready.
-const WAIT_FOR_DISCOVERY: Duration = Duration::from_secs(1);
+/// How long a gateway with a saved endpoint list waits for discovery before it becomes ready.
+const DISCOVERY_WAIT: Duration = Duration::from_secs(1);
 
-/// What a driver is made from.
+/// Parameters of a [`Driver`].
 pub struct Params {
-    /// The policy's settings, and the names that it knows by id.
+    /// The policy settings, and the mapping of configured names to ids.
     pub site: Site,
-    /// Seeds the engine's random choices.
+    /// Seed of the engine's random number generator.
     pub seed: u64,
-    /// The clock of this gateway.
+    /// The gateway's clock.
     pub clock: Clock,
-    /// The endpoint list that was saved before the start; empty, where there is none.
+    /// The endpoint list saved before startup; empty if there is none.
     pub saved_endpoints: EndpointList,
-    /// The counter's address, where there is a counter.
+    /// The address of the counter, if one is configured.
     pub counter_address: Option<SocketAddr>,
-    /// How the counter is called.
+    /// Parameters for calls to the counter.
     pub counter: counter::Params,
-    /// The connections to backends.
+    /// The pool of connections to backends.
     pub pool: Rc<Pool>,
-    /// The streams of long answers and uploads.
+    /// Limits on streamed responses and uploads.
     pub streams: Rc<StreamLimits>,
-    /// Whether operators can ask for metrics.
+    /// Whether metrics are collected.
     pub metrics: bool,
 }
 
 impl Params {
-    /// What a configuration says of the driver, with an empty pool.
+    /// Builds the parameters from a configuration, with an empty connection pool.
     pub fn new(config: Config, clock: Clock) -> Params {
         let counter_timeout = duration(config.site.settings.counter_timeout);
         Params {
@@ -90,13 +90,13 @@
     }
 }
 
-/// The driver.
+/// Runs the policy engine: feeds it events, carries out its actions and fires its timers.
 pub struct Driver {
     engine: Engine,
     clock: Clock,
     tick: Duration,
     sender: DriverSender,
-    received: mpsc::Receiver<DriverEvent>,
+    events: mpsc::Receiver<DriverEvent>,
     pool: Rc<Pool>,
     streams: Rc<StreamLimits>,
     requests: RequestTable,
@@ -105,29 +105,30 @@
     endpoints: Endpoints,
     timers: Timers,
     views: OperatorViews,
-    /// Events for the engine's next run.
+    /// Events to be passed to the engine in its next run.
     batch: Vec<Event>,
-    /// Reused between runs of the engine; empty outside of them.
+    /// Buffer reused between engine runs; empty outside of a run.
     actions: Vec<Action>,
 }
 
 impl Driver {
-    /// A driver that has no requests yet, and no endpoint list but a saved one.
+    /// Creates a driver without requests, whose endpoint list is the saved one, if any.
     ///
     /// # Errors
     ///
-    /// Settings that contradict each other.
+    /// Returns an error if the settings contradict each other.
     pub fn new(params: Params) -> Result<Driver, ConfigError> {
         let Params { site, seed, clock, saved_endpoints, counter_address, counter, pool, streams, metrics } =
             params;
         let settings = site.settings.clone();
         let metrics = metrics.then(|| Metrics::new(&site));
-        let (sender, received) = mpsc::channel(MAX_PENDING_EVENTS);
+        let (sender, events) = mpsc::channel(MAX_PENDING_EVENTS);
         let mut endpoints = Endpoints::new(site, pool.clone());
         let mut batch = Vec::new();
         if !saved_endpoints.endpoints.is_empty() {
-            // Where the list must be asked for, it may take long until it is this gateway's turn.
-            let wait = if settings.endpoint_subscription { Duration::ZERO } else { WAIT_FOR_DISCOVERY };
+            // A gateway that subscribes to the list may wait long for its first call, because the calls of all
+            // gateways are spread over time.
+            let wait = if settings.endpoint_subscription { Duration::ZERO } else { DISCOVERY_WAIT };
             batch.push(endpoints.restore(saved_endpoints, wait));
         }
         let attempts =
@@ -138,7 +139,7 @@
             clock,
             counter_calls: CounterCalls::new(counter_address, counter, sender.clone()),
             sender,
-            received,
+            events,
             pool,
             streams,
             requests: RequestTable::default(),
@@ -151,37 +152,37 @@
         })
     }
 
-    /// Shows operators the membership protocol from here on.
+    /// Includes the membership protocol in metrics and reports from now on.
     pub fn show_fleet(&mut self, source: impl Fn() -> FleetSnapshot + 'static) {
         self.views.show_fleet(Box::new(source));
     }
 
-    /// Shows operators replication of the fleet document from here on.
+    /// Includes replication of the fleet document in metrics from now on.
     pub fn show_replication(&mut self, source: impl Fn() -> ReplicationMetrics + 'static) {
         self.views.show_replication(Box::new(source));
     }
 
-    /// What other parts of the gateway follow of the endpoint list.
+    /// Returns the shared status of the endpoint list.
     pub fn endpoint_status(&self) -> EndpointStatus {
         self.endpoints.status().clone()
     }
 
-    /// Sends events to this driver.
+    /// Returns a sender of events to this driver.
     pub fn sender(&self) -> DriverSender {
         self.sender.clone()
     }
 
-    /// The connections to backends.
+    /// Returns the pool of connections to backends.
     pub fn pool(&self) -> Rc<Pool> {
         self.pool.clone()
     }
 
-    /// The streams of long answers and uploads.
+    /// Returns the limits on streamed responses and uploads.
     pub fn streams(&self) -> Rc<StreamLimits> {
         self.streams.clone()
     }
 
-    /// Runs for ever. Like the simulator it calls the engine at most once a tick.
+    /// Runs forever. Like the simulator, it runs the engine at most once per tick.
     pub async fn run(mut self) {
         let mut last_run = Instant::now();
         let mut retire = interval(RETIRE_INTERVAL);
@@ -191,16 +192,16 @@
             let ready_at = self.endpoints.ready_at();
             tokio::select! {
                 biased;
-                () = reached(next_run) => {
+                () = wait_until(next_run) => {
                     last_run = Instant::now();
                     self.run_engine();
                 }
-                () = reached(ready_at) => self.endpoints.become_ready(),
+                () = wait_until(ready_at) => self.endpoints.mark_ready(),
                 _ = retire.tick() => self.pool.retire(),
                 _ = preconnect.tick(), if self.pool.settings().preconnect => self.preconnect(),
-                Some(event) = self.received.recv() => {
+                Some(event) = self.events.recv() => {
                     self.receive(event);
-                    while let Ok(event) = self.received.try_recv() {
+                    while let Ok(event) = self.events.try_recv() {
                         self.receive(event);
                     }
                 }
@@ -208,7 +209,7 @@
         }
     }
 
-    /// When the engine is to be called next, if there is anything to call it for.
+    /// Returns when the engine must run next, or `None` if it has neither events nor timers pending.
     fn next_run(&self, last_run: Instant) -> Option<Instant> {
         let earliest = last_run + self.tick;
         if !self.batch.is_empty() {
@@ -217,7 +218,7 @@
         self.timers.next_at().map(|fires_at| self.clock.instant(fires_at).max(earliest))
     }
 
-    /// Opens connections ahead of need to backends that the engine may forward to.
+    /// Opens connections in advance to backends to which the engine may forward requests.
     fn preconnect(&mut self) {
         let now = self.clock.now();
         let wanting = self.endpoints.backends().filter(|(_, backend)| self.pool.wants_preconnect(backend));
@@ -226,7 +227,7 @@
         self.pool.preconnect(&backends, PRECONNECT_INTERVAL);
     }
 
-    /// Hands the engine what has happened since its last run, and carries out its actions.
+    /// Passes the pending events and due timers to the engine, and carries out its actions.
     fn run_engine(&mut self) {
         let now = self.clock.now();
         while let Some(timer) = self.timers.pop_due(now) {
@@ -234,14 +235,15 @@
         }
         let mut actions = std::mem::take(&mut self.actions);
         for event in std::mem::take(&mut self.batch) {
-            let may_finish = request_that_may_finish(&event);
+            let finishable = finishable_request(&event);
             self.engine.handle(now, event, &mut actions);
             for action in actions.drain(..) {
                 self.perform(now, action);
             }
-            // Not before the engine has handled the event, as it may forward once more. Guards against attempts whose
-            // end the engine never learns of, so that it counts them as in flight for good.
-            if let Some(request) = may_finish {
+            // The request is removed only after the engine has handled the event, because the engine may forward it
+            // again. If it were removed earlier, the end of that attempt would never be reported and the engine would
+            // count it as in flight forever.
+            if let Some(request) = finishable {
                 self.requests.remove_if_finished(request);
             }
         }
@@ -249,13 +251,13 @@
         self.views.watch_breaker(&self.engine);
     }
 
-    /// Takes in one event; what the engine must know of it waits for its next run.
+    /// Handles one event. Events for the engine are queued until its next run.
     fn receive(&mut self, event: DriverEvent) {
         match event {
             DriverEvent::RequestAccepted(accepted) => self.request_accepted(*accepted),
             DriverEvent::ClientDisconnected(request) => self.client_disconnected(request),
             DriverEvent::EndpointsChanged(list) => self.batch.push(self.endpoints.update(list)),
-            DriverEvent::CounterMoved(address) => self.counter_calls.move_to(address),
+            DriverEvent::CounterAddressChanged(address) => self.counter_calls.set_address(address),
             DriverEvent::CounterReplied { key, sequence, reply, called_at } => {
                 self.views.counter_call_ended(reply.outcome, self.clock.now() - called_at);
                 let replies = self.counter_calls.resolve(key, sequence, reply);
@@ -276,7 +278,7 @@
                 }
             }
             DriverEvent::Inspect { query, reply } => {
-                // An operator who has disconnected needs no report.
+                // The send fails if the operator has disconnected; the report is then dropped.
                 let _ = reply.send(self.report(query));
             }
         }
@@ -306,21 +308,21 @@
         }
     }
 
-    /// Reports an attempt's end to the engine with its next run.
+    /// Queues the result of an attempt for the engine's next run.
     fn report_attempt(&mut self, result: AttemptResult) {
         self.views.attempt_ended(result.outcome);
         self.batch.push(Event::AttemptEnded(result));
     }
 
     fn report(&self, query: AdminQuery) -> AdminReport {
-        let parts = Parts {
+        let state = DriverState {
             engine: &self.engine,
             endpoints: &self.endpoints,
             pool: &self.pool,
             streams: &self.streams,
             open_requests: self.requests.len(),
         };
-        self.views.report(query, &parts)
+        self.views.report(query, &state)
     }
 
     /// Carries out one of the engine's actions.
@@ -338,12 +340,13 @@
                 self.counter_calls.spawn(CounterCall { key, amount, lifetime, called_at: now });
             }
             Action::SetTimer { timer, delay } => self.timers.set(now + delay, timer),
-            // The engine asks for no health checks, and the watch on the endpoint list never stops.
+            // The engine orders no health checks, and the watch on the endpoint list never stops.
             Action::CheckHealth(_) | Action::SubscribeEndpoints | Action::FetchEndpoints => {}
         }
     }
 
-    /// Begins an attempt, unless the client has disconnected or the endpoint list changed since the engine's event.
+    /// Starts an attempt, unless the request no longer awaits an answer or the backend is no longer in service. In
+    /// these cases the attempt is reported as not sent.
     fn forward(&mut self, order: AttemptOrder) {
         let request = order.request;
         let backend = self.endpoints.backend(order.backend);
@@ -370,8 +373,8 @@
     }
 }
 
-/// The request that may be finished once the engine has handled this event.
-fn request_that_may_finish(event: &Event) -> Option<RequestId> {
+/// Returns the request that may be finished once the engine has handled this event.
+fn finishable_request(event: &Event) -> Option<RequestId> {
     match event {
         Event::ClientDisconnected(request) => Some(*request),
         Event::AttemptEnded(result) => Some(result.request),
@@ -379,8 +382,8 @@
     }
 }
 
-/// Ends at an instant; never, without one.
-async fn reached(instant: Option<Instant>) {
+/// Completes at `instant`; never completes without one.
+async fn wait_until(instant: Option<Instant>) {
     match instant {
         Some(instant) => sleep_until(instant).await,
         None => std::future::pending().await,
--- a/crates/gateway/src/driver/attempts.rs
+++ b/crates/gateway/src/driver/attempts.rs
@@ -1,4 +1,4 @@
-//! Runs the attempts that the policy engine has ordered, a task each, and reports how they end.
+//! Runs the attempts ordered by the policy engine, each in its own task, and reports their results to the driver.
 
 use super::events::{DriverEvent, DriverSender};
 use super::request_table::StartedAttempt;
@@ -10,19 +10,19 @@
 use std::pin::pin;
 use std::rc::Rc;
 
-/// What the engine has ordered.
+/// An attempt as ordered by the engine.
 pub(super) struct AttemptOrder {
     pub(super) request: RequestId,
     pub(super) backend: BackendId,
-    /// The attempt ends by then, unless it carries a long upload.
+    /// Latest end of the attempt, unless it carries a long upload.
     pub(super) give_up_at: Micros,
-    /// It is not begun later than then.
+    /// Latest start of the attempt.
     pub(super) begin_by: Micros,
-    /// When it was ordered.
+    /// When the engine ordered the attempt.
     pub(super) ordered_at: Micros,
 }
 
-/// Runs attempts.
+/// Spawns attempts and reports their progress to the driver.
 #[derive(Clone)]
 pub(super) struct AttemptRunner {
     pub(super) clock: Clock,
@@ -32,7 +32,7 @@
 }
 
 impl AttemptRunner {
-    /// Begins an attempt, whose end is sent to the driver.
+    /// Spawns an attempt; its result is sent to the driver.
     pub(super) fn spawn(&self, order: AttemptOrder, backend: Rc<Backend>, attempt: StartedAttempt) {
         let runner = self.clone();
         tokio::task::spawn_local(async move { runner.run(order, &backend, attempt).await });
@@ -68,12 +68,12 @@
     }
 
     async fn report(&self, event: DriverEvent) {
-        // The driver outlives every attempt but for the exit of the process.
+        // The driver outlives every attempt, except while the process exits.
         let _ = self.driver.send(event).await;
     }
 }
 
-/// Ends once this attempt alone can carry its request's upload; never, where there is none.
+/// Completes once only this attempt can carry the request's upload; never completes for a request without an upload.
 async fn upload_committed(forward: &Forward, index: usize) {
     match forward.body.upload() {
         Some(upload) => upload.bound_to(index).await,
--- a/crates/gateway/src/driver/counter_calls.rs
+++ b/crates/gateway/src/driver/counter_calls.rs
@@ -1,4 +1,4 @@
-//! The calls to the shared counter that the policy engine has ordered.
+//! Makes the calls to the shared counter that the policy engine orders.
 
 use super::events::{DriverEvent, DriverSender};
 use crate::counter::{self, Counter, CounterReply, ReplySequencer};
@@ -6,17 +6,17 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// A call to the counter as the engine has ordered it.
+/// A call to the counter, as ordered by the engine.
 pub(super) struct CounterCall {
     pub(super) key: CounterKey,
     pub(super) amount: f64,
-    /// How long the counter keeps a new key.
+    /// Expiry of the key, if this call creates it.
     pub(super) lifetime: Micros,
-    /// When the call was ordered.
+    /// When the engine ordered the call.
     pub(super) called_at: Micros,
 }
 
-/// Makes calls to the counter, a task each, and puts their replies into the order of the calls.
+/// Makes calls to the counter, each in its own task, and returns their replies in the order of the calls.
 pub(super) struct CounterCalls {
     counter: Option<Rc<Counter>>,
     params: counter::Params,
@@ -34,17 +34,17 @@
         CounterCalls { counter, params, replies: ReplySequencer::default(), driver }
     }
 
-    /// Uses the counter at another address. Calls in flight go on at the old one, whose idle connections are closed with
-    /// the last of them.
-    pub(super) fn move_to(&mut self, address: Option<SocketAddr>) {
-        // Taking the counter away needs a restart.
+    /// Switches to the counter at another address. Calls in flight continue at the old address, whose idle connections
+    /// are closed when the last of these calls ends.
+    pub(super) fn set_address(&mut self, address: Option<SocketAddr>) {
+        // Removing the counter from the configuration requires a restart.
         let Some(address) = address else { return };
         if self.counter.as_ref().map(|counter| counter.address()) != Some(address) {
             self.counter = Some(Rc::new(Counter::new(address, self.params.clone())));
         }
     }
 
-    /// Makes a call, whose end is sent to the driver.
+    /// Spawns a call; its reply is sent to the driver.
     pub(super) fn spawn(&mut self, call: CounterCall) {
         let CounterCall { key, amount, lifetime, called_at } = call;
         let sequence = self.replies.register(key);
@@ -54,12 +54,12 @@
                 Some(counter) => counter.add(key, amount, lifetime).await,
                 None => Outcome::ConnectFailed.into(),
             };
-            // The driver outlives every call but for the exit of the process.
+            // The driver outlives every call, except while the process exits.
             let _ = driver.send(DriverEvent::CounterReplied { key, sequence, reply, called_at }).await;
         });
     }
 
-    /// Takes a reply; returns the replies for its key that are due now, in the order of their calls.
+    /// Records a reply, and returns the replies for its key that can now be delivered, in the order of their calls.
     pub(super) fn resolve(
         &mut self,
         key: CounterKey,
--- a/crates/gateway/src/driver/endpoints.rs
+++ b/crates/gateway/src/driver/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoint list in force: which backends there are, with their connections, and whether there is a list yet.
+//! Maintains the current endpoint list and the backends in service, and tracks whether the gateway is ready.
 
 use crate::config::{EndpointEntry, EndpointList, EndpointPhase};
 use crate::pool::{Backend, Pool};
@@ -12,12 +12,12 @@
 use tokio::time::Instant;
 use tracing::{debug, info};
 
-/// What other parts of the gateway follow of the endpoint list.
+/// Status of the endpoint list, shared with other parts of the gateway.
 #[derive(Clone, Default)]
 pub struct EndpointStatus {
-    /// Whether there is a list to forward requests by.
+    /// Whether there is an endpoint list by which requests can be forwarded.
     pub ready: Rc<Cell<bool>>,
-    /// The list's revision; 0 before there is one.
+    /// Revision of the endpoint list; 0 before the first one.
     pub revision: Rc<Cell<u64>>,
 }
 
@@ -28,7 +28,7 @@
     pool: Rc<Pool>,
     in_service: HashMap<BackendId, Rc<Backend>>,
     status: EndpointStatus,
-    /// When a list from before the start counts as current without an answer of discovery.
+    /// When the saved endpoint list is treated as current, even if discovery has not responded.
     ready_at: Option<Instant>,
     /// When discovery last sent a list or changes.
     updated_at: Option<Instant>,
@@ -46,65 +46,65 @@
         }
     }
 
-    /// Applies a list that was saved before the start. It may be outdated, so the gateway is ready only once
-    /// discovery has answered or `wait` is over.
+    /// Applies an endpoint list that was saved before startup. It may be outdated, so the gateway becomes ready only
+    /// once discovery has responded or `wait` has elapsed.
     pub(super) fn restore(&mut self, saved: EndpointList, wait: Duration) -> Event {
         self.ready_at = Some(Instant::now() + wait);
         self.apply(EndpointList { complete: true, ..saved })
     }
 
-    /// Applies what discovery has sent.
+    /// Applies an endpoint list, or changes to it, sent by discovery.
     pub(super) fn update(&mut self, list: EndpointList) -> Event {
         self.updated_at = Some(Instant::now());
         let event = self.apply(list);
-        self.become_ready();
+        self.mark_ready();
         event
     }
 
-    /// When to call `become_ready`, unless discovery sends a list before.
+    /// Returns when to call `mark_ready`, unless discovery sends a list earlier.
     pub(super) fn ready_at(&self) -> Option<Instant> {
         self.ready_at
     }
 
-    /// Takes the list at hand for the current one.
-    pub(super) fn become_ready(&mut self) {
+    /// Treats the present endpoint list as current and marks the gateway as ready.
+    pub(super) fn mark_ready(&mut self) {
         self.ready_at = None;
         if !self.status.ready.replace(true) {
             info!(backends = self.in_service.len(), "ready");
         }
     }
 
-    /// What other parts of the gateway follow.
+    /// Returns the status shared with other parts of the gateway.
     pub(super) fn status(&self) -> &EndpointStatus {
         &self.status
     }
 
-    /// How long ago discovery last sent a list or changes.
+    /// Returns the time since discovery last sent a list or changes; `None` if it never did.
     pub(super) fn age(&self) -> Option<Duration> {
         self.updated_at.map(|at| at.elapsed())
     }
 
-    /// The number of backends in service.
+    /// Returns the number of backends in service.
     pub(super) fn len(&self) -> usize {
         self.in_service.len()
     }
 
-    /// The backends in service.
+    /// Iterates over the backends in service.
     pub(super) fn backends(&self) -> impl Iterator<Item = (BackendId, &Rc<Backend>)> {
         self.in_service.iter().map(|(id, backend)| (*id, backend))
     }
 
-    /// A backend, if it is in service.
+    /// Returns a backend, if it is in service.
     pub(super) fn backend(&self, id: BackendId) -> Option<Rc<Backend>> {
         self.in_service.get(&id).cloned()
     }
 
-    /// The address of a backend in service.
+    /// Returns the address of a backend, if it is in service.
     pub(super) fn address(&self, id: BackendId) -> Option<SocketAddr> {
         self.in_service.get(&id).map(|backend| backend.address)
     }
 
-    /// The name of a backend in service.
+    /// Returns the name of a backend, if it is in service.
     pub(super) fn name(&self, id: BackendId) -> Option<&String> {
         self.site.backends.get(&id)
     }
@@ -117,7 +117,7 @@
         if complete {
             self.close_all_but(&endpoints);
         }
-        // Guards against growing with every backend there ever was.
+        // Without this the map would keep an entry for every backend that was ever listed.
         self.site.backends.retain(|id, _| self.in_service.contains_key(id));
         let scope = if complete { EndpointListScope::Complete } else { EndpointListScope::Changes };
         Event::EndpointList { scope, endpoints }
@@ -140,7 +140,7 @@
         }
     }
 
-    /// Takes a backend into service. One that moved or restarted gets new connections.
+    /// Puts a backend into service. If its address or start time changed, its old connections are closed.
     fn open(&mut self, id: BackendId, address: SocketAddr, started_at_ms: u64) {
         let old = self.in_service.get(&id);
         if old.is_some_and(|old| old.address == address && old.started_at_ms == started_at_ms) {
@@ -161,11 +161,11 @@
     fn close_all_but(&mut self, listed: &[Endpoint]) {
         let listed: HashSet<BackendId> = listed.iter().map(|endpoint| endpoint.backend).collect();
         self.in_service.retain(|id, backend| {
-            let stays = listed.contains(id);
-            if !stays {
+            let is_listed = listed.contains(id);
+            if !is_listed {
                 self.pool.close(backend);
             }
-            stays
+            is_listed
         });
     }
 }
--- a/crates/gateway/src/driver/events.rs
+++ b/crates/gateway/src/driver/events.rs
@@ -1,4 +1,4 @@
-//! The driver's interface: the events that it reacts to, and the answers that it gives.
+//! The driver's interface: the events that it handles, and its answers to requests and operators' queries.
 
 use crate::backend::{AttemptEnd, Forward};
 use crate::config::EndpointList;
@@ -15,27 +15,28 @@
 /// The final answer to a client.
 #[derive(Debug)]
 pub enum FinalAnswer {
-    /// A backend's 200, either complete or past the point up to which it is held back.
+    /// A backend's 200 response, either complete or streamed once the limit for buffering it was exceeded.
     Served(ServedBody),
-    /// Rejected: the request did not run. A retry is harmless, best after this time.
+    /// The request was rejected without being executed, so it is safe to retry, preferably after this time.
     Rejected(Option<Micros>),
-    /// Failed. The request may have run.
+    /// The request failed. It may have been executed.
     Failed,
 }
 
-/// A client's request, received completely but for the rest of an upload.
+/// A client's request, completely received except for the rest of an upload.
 pub struct AcceptedRequest {
-    /// What the policy engine decides by. Its id is new, whatever the client called the request.
+    /// The request's attributes for the policy engine. The id is assigned by this gateway, independently of the
+    /// client's request id.
     pub arrival: Arrival,
     /// When the request was accepted.
     pub accepted_at: Micros,
-    /// What is forwarded to backends.
+    /// The request to forward to a backend.
     pub forward: Forward,
-    /// Takes the final answer.
+    /// Receives the final answer.
     pub reply: oneshot::Sender<FinalAnswer>,
 }
 
-/// What the driver reacts to.
+/// An event that the driver handles.
 pub enum DriverEvent {
     /// A client's request was accepted.
     RequestAccepted(Box<AcceptedRequest>),
@@ -43,8 +44,8 @@
     ClientDisconnected(RequestId),
     /// Discovery sent the endpoint list, or changes to it.
     EndpointsChanged(EndpointList),
-    /// The counter has another address.
-    CounterMoved(Option<SocketAddr>),
+    /// The configured address of the counter changed.
+    CounterAddressChanged(Option<SocketAddr>),
     /// A call to the counter ended.
     CounterReplied {
         /// The counter's key.
@@ -56,27 +57,27 @@
         /// When the call was made.
         called_at: Micros,
     },
-    /// An attempt ended, or its answer goes to the client from here on.
+    /// An attempt ended, or its response is now streamed to the client.
     AttemptEnded {
-        /// Its request.
+        /// The request.
         request: RequestId,
-        /// Its index among the request's attempts.
+        /// The attempt's index among the request's attempts.
         attempt: usize,
-        /// The backend that it went to.
+        /// The backend that it was sent to.
         backend: BackendId,
         /// How it ended.
         end: AttemptEnd,
-        /// How long the backend was waited for.
+        /// The time spent waiting for the backend.
         elapsed: Micros,
     },
-    /// From here on only this attempt can carry its request's upload.
+    /// From now on only this attempt can carry the request's upload.
     UploadCommitted {
         /// The request.
         request: RequestId,
         /// The attempt's index.
         attempt: usize,
     },
-    /// The body of an answer that a client had begun to receive ended.
+    /// The body of a response that was being streamed to a client ended.
     StreamEnded {
         /// The request.
         request: RequestId,
@@ -85,16 +86,16 @@
         /// How it ended.
         outcome: Outcome,
     },
-    /// An operator asks for a view of the driver's state.
+    /// An operator queries the driver's state.
     Inspect {
-        /// What is asked for.
+        /// The query.
         query: AdminQuery,
-        /// Takes the report.
+        /// Receives the report.
         reply: oneshot::Sender<AdminReport>,
     },
 }
 
-/// What an operator asks for.
+/// An operator's query.
 #[derive(Debug, Clone, Copy)]
 pub enum AdminQuery {
     /// Whether the gateway has an endpoint list.
--- a/crates/gateway/src/driver/request_table.rs
+++ b/crates/gateway/src/driver/request_table.rs
@@ -1,8 +1,7 @@
-//! The requests that were accepted and have not ended yet, with their attempts.
+//! Tracks accepted requests and their attempts until they finish.
 //!
-//! Every request gets exactly one final answer: the channel for it leaves the table in one place only,
-//! [`OpenRequest::close`], and whoever comes later finds none. A request is removed once it is closed and none of its
-//! attempts runs any more.
+//! Every request gets at most one final answer: the channel for it is taken in one place only, [`OpenRequest::close`],
+//! and later callers find none. A request is removed once it is closed and none of its attempts is running.
 
 use super::events::{AcceptedRequest, FinalAnswer};
 use crate::backend::{AttemptEnd, Forward};
@@ -14,7 +13,7 @@
 use std::rc::Rc;
 use tokio::sync::{oneshot, watch};
 
-/// What metrics record a request's end by.
+/// Attributes of a request that metrics need when it ends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct RequestOrigin {
     pub(super) class: ClassId,
@@ -22,19 +21,19 @@
     pub(super) accepted_at: Micros,
 }
 
-/// An attempt that was begun for a request.
+/// An attempt that was started for a request.
 pub(super) struct StartedAttempt {
     /// Its index among the request's attempts, from 0.
     pub(super) index: usize,
-    /// What it forwards.
+    /// The request to forward.
     pub(super) forward: Rc<Forward>,
     /// Resolves when the attempt is cancelled.
     pub(super) cancelled: oneshot::Receiver<()>,
-    /// Whether the request still waits for its answer.
+    /// Whether the request still awaits its final answer.
     pub(super) request_open: watch::Receiver<bool>,
 }
 
-/// An attempt as it was when it ended, or when its answer's beginning had arrived.
+/// An attempt that has ended, or whose response has begun to arrive.
 pub(super) struct EndedAttempt {
     pub(super) request: RequestId,
     pub(super) attempt: usize,
@@ -43,15 +42,15 @@
     pub(super) elapsed: Micros,
 }
 
-/// What an ended attempt comes to.
+/// The effect of an [`EndedAttempt`] on its request.
 pub(super) struct AttemptProgress {
-    /// Set if its answer became the final answer of its request.
+    /// Set if its response became the final answer to its request.
     pub(super) served: Option<RequestOrigin>,
-    /// Its result; `None` while its answer is still being streamed to the client.
+    /// Its result; `None` while its response is still being streamed to the client.
     pub(super) result: Option<AttemptResult>,
 }
 
-/// What is reported of an attempt besides its outcome.
+/// The part of an attempt's result that is known when its response begins.
 #[derive(Clone, Copy)]
 struct Observation {
     backend: BackendId,
@@ -61,7 +60,7 @@
 
 enum AttemptState {
     Running,
-    /// Its answer goes to the client; the observation is reported once that has ended.
+    /// Its response is being streamed to the client; the observation is reported when the stream ends.
     Streaming(Observation),
     Ended,
 }
@@ -73,9 +72,9 @@
 }
 
 struct OpenRequest {
-    /// Takes the final answer; gone once that was given, or the client has disconnected.
+    /// Receives the final answer; `None` once it was sent or the client has disconnected.
     reply: Option<oneshot::Sender<FinalAnswer>>,
-    /// Tells the attempts whether the request still waits for its answer.
+    /// Signals to the attempts whether the request still awaits its answer.
     open: watch::Sender<bool>,
     forward: Rc<Forward>,
     attempts: Vec<AttemptEntry>,
@@ -83,17 +82,17 @@
 }
 
 impl OpenRequest {
-    /// Ends the wait for an answer and returns the channel for it, unless it was taken before. Attempts that have not
-    /// begun yet never do.
+    /// Closes the request and returns the channel for its answer, unless it was taken before. Attempts that have not
+    /// begun yet are not made any more.
     fn close(&mut self) -> Option<oneshot::Sender<FinalAnswer>> {
         self.open.send_replace(false);
         self.reply.take()
     }
 
-    /// Gives the final answer, unless there was one before.
+    /// Sends the final answer, unless the request was already closed.
     fn answer(&mut self, answer: FinalAnswer) -> Option<RequestOrigin> {
         let reply = self.close()?;
-        // A client that has just disconnected needs no answer.
+        // The send fails if the client has just disconnected; the answer is then dropped.
         let _ = reply.send(answer);
         Some(self.origin)
     }
@@ -124,14 +123,14 @@
     }
 }
 
-/// The requests that were accepted and have not ended yet.
+/// The requests that were accepted and are not finished yet.
 #[derive(Default)]
 pub(super) struct RequestTable {
     requests: HashMap<RequestId, OpenRequest>,
 }
 
 impl RequestTable {
-    /// Adds a request, which from here on waits for its final answer, and returns what the engine decides by.
+    /// Adds a request, which then awaits its final answer, and returns its attributes for the engine.
     pub(super) fn insert(&mut self, accepted: AcceptedRequest) -> Arrival {
         let AcceptedRequest { arrival, accepted_at, forward, reply } = accepted;
         let (open, _) = watch::channel(true);
@@ -142,31 +141,31 @@
         arrival
     }
 
-    /// The number of requests in the table.
+    /// Returns the number of requests in the table.
     pub(super) fn len(&self) -> usize {
         self.requests.len()
     }
 
-    /// Whether a request still waits for its final answer.
+    /// Returns whether a request still awaits its final answer.
     pub(super) fn awaits_answer(&self, id: RequestId) -> bool {
         self.requests.get(&id).is_some_and(|request| request.reply.is_some())
     }
 
-    /// Gives a request its final answer; `None` if it had one before.
+    /// Sends a request its final answer; returns `None` if the request is unknown or already closed.
     pub(super) fn answer(&mut self, id: RequestId, answer: FinalAnswer) -> Option<RequestOrigin> {
         let origin = self.requests.get_mut(&id)?.answer(answer)?;
         self.remove_if_finished(id);
         Some(origin)
     }
 
-    /// Closes a request whose client has disconnected; `None` if it had its final answer before.
+    /// Closes a request whose client has disconnected; returns `None` if it is unknown or already closed.
     pub(super) fn disconnect(&mut self, id: RequestId) -> Option<RequestOrigin> {
         let request = self.requests.get_mut(&id)?;
         request.close()?;
         Some(request.origin)
     }
 
-    /// Begins an attempt.
+    /// Registers an attempt of a request.
     pub(super) fn start_attempt(&mut self, id: RequestId) -> Option<StartedAttempt> {
         let request = self.requests.get_mut(&id)?;
         let (cancel, cancelled) = oneshot::channel();
@@ -179,7 +178,7 @@
         })
     }
 
-    /// Counts an attempt that is not made, and returns its result.
+    /// Registers an attempt that is not made, and returns its result.
     pub(super) fn skip_attempt(&mut self, id: RequestId, backend: BackendId) -> Option<AttemptResult> {
         let request = self.requests.get_mut(&id)?;
         request.attempts.push(AttemptEntry { state: AttemptState::Ended, cancel: None });
@@ -187,18 +186,18 @@
         Some(request.result(id, request.attempts.len() - 1, Outcome::NotSent, observation))
     }
 
-    /// Cancels an attempt, which reports its end itself once its connection is closed.
+    /// Cancels an attempt. The attempt reports its end once its connection is closed.
     pub(super) fn cancel_attempt(&mut self, id: RequestId, attempt: usize) {
         let request = self.requests.get_mut(&id);
         let entry = request.and_then(|request| request.attempts.get_mut(attempt));
         if let Some(cancel) = entry.and_then(|entry| entry.cancel.take()) {
-            // It may have ended meanwhile.
+            // The send fails if the attempt has already ended.
             let _ = cancel.send(());
         }
     }
 
-    /// Takes the end of an attempt. The first 200 is the client's at once. A later one, or one whose client has
-    /// disconnected, is dropped here with its connection.
+    /// Records the end of an attempt. The first 200 response is passed to the client at once. A response to a closed
+    /// request is dropped here, together with its connection.
     pub(super) fn attempt_ended(&mut self, ended: EndedAttempt) -> Option<AttemptProgress> {
         let EndedAttempt { request: id, attempt: index, backend, end, elapsed } = ended;
         let request = self.requests.get_mut(&id)?;
@@ -216,8 +215,8 @@
         Some(AttemptProgress { served, result: Some(result) })
     }
 
-    /// Takes the end of an answer that was streamed to the client; `None` where the attempt's answer never was the
-    /// client's.
+    /// Records the end of a response that was streamed to the client; returns `None` if the attempt's response was not
+    /// being streamed.
     pub(super) fn stream_ended(
         &mut self,
         id: RequestId,
@@ -231,7 +230,7 @@
         Some(request.result(id, index, outcome, observation))
     }
 
-    /// Removes a request that has its answer, or whose client has disconnected, and of which no attempt runs.
+    /// Removes a request if it is closed and none of its attempts is running.
     pub(super) fn remove_if_finished(&mut self, id: RequestId) {
         if self.requests.get(&id).is_some_and(OpenRequest::is_finished) {
             self.requests.remove(&id);
--- a/crates/gateway/src/driver/timers.rs
+++ b/crates/gateway/src/driver/timers.rs
@@ -1,27 +1,27 @@
-//! The timers that the policy engine has set.
+//! Queue of the timers set by the policy engine.
 
 use lanespan_policy::{Micros, TimerId};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// Timers in the order in which they fire: by time, then by id.
+/// Pending timers, ordered by the time at which they fire, then by id.
 #[derive(Default)]
 pub(super) struct Timers {
     pending: BinaryHeap<Reverse<(Micros, TimerId)>>,
 }
 
 impl Timers {
-    /// Sets a timer. Timers are never cancelled: the engine ignores those that it has no use for any more.
+    /// Sets a timer. Timers are never cancelled: the engine ignores those that are obsolete when they fire.
     pub(super) fn set(&mut self, fires_at: Micros, timer: TimerId) {
         self.pending.push(Reverse((fires_at, timer)));
     }
 
-    /// When the next timer fires.
+    /// Returns when the next timer fires.
     pub(super) fn next_at(&self) -> Option<Micros> {
         self.pending.peek().map(|Reverse((fires_at, _))| *fires_at)
     }
 
-    /// Removes the next timer if it is due.
+    /// Removes and returns the next timer if it is due.
     pub(super) fn pop_due(&mut self, now: Micros) -> Option<TimerId> {
         if self.next_at()? > now {
             return None;
--- a/crates/gateway/src/driver/views.rs
+++ b/crates/gateway/src/driver/views.rs
@@ -1,4 +1,4 @@
-//! What operators are shown: metrics, readiness and the state as JSON.
+//! Reports for operators: metrics, readiness and the state as JSON.
 
 use super::endpoints::Endpoints;
 use super::events::{AdminQuery, AdminReport};
@@ -11,14 +11,14 @@
 use lanespan_policy::{BackendSnapshot, Engine, Micros, Outcome};
 use serde_json::{json, Value};
 
-/// The most backends that the state lists.
+/// Maximum number of backends listed in the state report.
 const MAX_LISTED_BACKENDS: usize = 1_000;
 
-/// Delivers a snapshot of another part of the gateway.
-type Source<S> = Box<dyn Fn() -> S>;
+/// Returns a snapshot of another part of the gateway.
+type SnapshotSource<S> = Box<dyn Fn() -> S>;
 
-/// The parts of the driver that are shown.
-pub(super) struct Parts<'a> {
+/// The driver's state on which reports are based.
+pub(super) struct DriverState<'a> {
     pub(super) engine: &'a Engine,
     pub(super) endpoints: &'a Endpoints,
     pub(super) pool: &'a Pool,
@@ -26,12 +26,12 @@
     pub(super) open_requests: usize,
 }
 
-/// The metrics, and what else operators are shown.
+/// Records metrics and builds reports for operators.
 pub(super) struct OperatorViews {
-    /// Present where operators can ask for them.
+    /// Present if metrics are collected.
     metrics: Option<Metrics>,
-    fleet: Option<Source<FleetSnapshot>>,
-    replication: Option<Source<ReplicationMetrics>>,
+    fleet: Option<SnapshotSource<FleetSnapshot>>,
+    replication: Option<SnapshotSource<ReplicationMetrics>>,
     breaker_open: bool,
 }
 
@@ -40,44 +40,44 @@
         OperatorViews { metrics, fleet: None, replication: None, breaker_open: false }
     }
 
-    /// Shows the membership protocol from here on.
-    pub(super) fn show_fleet(&mut self, source: Source<FleetSnapshot>) {
+    /// Includes the membership protocol in metrics and reports from now on.
+    pub(super) fn show_fleet(&mut self, source: SnapshotSource<FleetSnapshot>) {
         if let Some(metrics) = &mut self.metrics {
             metrics.register_fleet();
         }
         self.fleet = Some(source);
     }
 
-    /// Shows replication from here on.
-    pub(super) fn show_replication(&mut self, source: Source<ReplicationMetrics>) {
+    /// Includes replication in metrics from now on.
+    pub(super) fn show_replication(&mut self, source: SnapshotSource<ReplicationMetrics>) {
         if let Some(metrics) = &mut self.metrics {
             metrics.register_replication();
         }
         self.replication = Some(source);
     }
 
-    /// A request ended at this time.
+    /// Records that a request ended at `now`.
     pub(super) fn request_ended(&self, origin: RequestOrigin, result: RequestResult, now: Micros) {
         if let Some(metrics) = &self.metrics {
             metrics.request_ended(origin.class, origin.plan, result, now - origin.accepted_at);
         }
     }
 
-    /// An attempt ended.
+    /// Records that an attempt ended.
     pub(super) fn attempt_ended(&self, outcome: Outcome) {
         if let Some(metrics) = &self.metrics {
             metrics.attempt_ended(outcome);
         }
     }
 
-    /// A call to the counter ended, after this time.
+    /// Records that a call to the counter ended after `elapsed`.
     pub(super) fn counter_call_ended(&self, outcome: Outcome, elapsed: Micros) {
         if let Some(metrics) = &self.metrics {
             metrics.counter_call_ended(outcome, elapsed);
         }
     }
 
-    /// Counts the changes of the circuit breaker before the counter.
+    /// Counts state changes of the circuit breaker that protects the counter.
     pub(super) fn watch_breaker(&mut self, engine: &Engine) {
         let Some(metrics) = &self.metrics else { return };
         let open = engine.snapshot().breaker_open;
@@ -88,30 +88,30 @@
     }
 
     /// Answers an operator's query.
-    pub(super) fn report(&self, query: AdminQuery, parts: &Parts) -> AdminReport {
+    pub(super) fn report(&self, query: AdminQuery, driver: &DriverState) -> AdminReport {
         match query {
-            AdminQuery::Ready => AdminReport::Ready(parts.endpoints.status().ready.get()),
-            AdminQuery::Metrics => AdminReport::Metrics(self.metrics_text(parts)),
-            AdminQuery::State => AdminReport::State(self.state_json(parts)),
+            AdminQuery::Ready => AdminReport::Ready(driver.endpoints.status().ready.get()),
+            AdminQuery::Metrics => AdminReport::Metrics(self.metrics_text(driver)),
+            AdminQuery::State => AdminReport::State(self.state_json(driver)),
         }
     }
 
-    fn metrics_text(&self, parts: &Parts) -> String {
+    fn metrics_text(&self, driver: &DriverState) -> String {
         let Some(metrics) = &self.metrics else { return String::new() };
         metrics.text(&GatewaySnapshot {
-            state: state_snapshot(parts),
-            pool: parts.pool.gauges(),
-            pool_totals: parts.pool.counters(),
-            stream_reserved_bytes: parts.streams.reserved_bytes(),
+            state: state_snapshot(driver),
+            pool: driver.pool.gauges(),
+            pool_totals: driver.pool.counters(),
+            stream_reserved_bytes: driver.streams.reserved_bytes(),
             fleet: self.fleet.as_ref().map(|source| source()),
             replication: self.replication.as_ref().map(|source| source()),
         })
     }
 
-    fn state_json(&self, parts: &Parts) -> Value {
-        let state = state_snapshot(parts);
+    fn state_json(&self, driver: &DriverState) -> Value {
+        let state = state_snapshot(driver);
         let engine = &state.engine;
-        let backends = parts.engine.backend_snapshots().take(MAX_LISTED_BACKENDS);
+        let backends = driver.engine.backend_snapshots().take(MAX_LISTED_BACKENDS);
         json!({
             "ready": state.ready,
             "discovery_age_s": state.endpoint_list_age_seconds(),
@@ -120,22 +120,22 @@
             "customers": engine.customers,
             "requests_open": state.open_requests,
             "requests_held": engine.waiting_requests,
-            "stream_bytes_reserved": parts.streams.reserved_bytes(),
-            "pool": pool_json(&parts.pool.gauges()),
+            "stream_bytes_reserved": driver.streams.reserved_bytes(),
+            "pool": pool_json(&driver.pool.gauges()),
             "fleet": self.fleet.as_ref().map(|source| fleet_json(&source())),
             "backends_known": state.backends,
-            "backends": backends.map(|backend| backend_json(&backend, parts.endpoints)).collect::<Vec<_>>(),
+            "backends": backends.map(|backend| backend_json(&backend, driver.endpoints)).collect::<Vec<_>>(),
         })
     }
 }
 
-fn state_snapshot(parts: &Parts) -> StateSnapshot {
+fn state_snapshot(driver: &DriverState) -> StateSnapshot {
     StateSnapshot {
-        ready: parts.endpoints.status().ready.get(),
-        engine: parts.engine.snapshot(),
-        open_requests: parts.open_requests,
-        backends: parts.endpoints.len(),
-        endpoint_list_age: parts.endpoints.age(),
+        ready: driver.endpoints.status().ready.get(),
+        engine: driver.engine.snapshot(),
+        open_requests: driver.open_requests,
+        backends: driver.endpoints.len(),
+        endpoint_list_age: driver.endpoints.age(),
     }
 }
 
--- a/crates/gateway/src/framing.rs
+++ b/crates/gateway/src/framing.rs
@@ -1,26 +1,26 @@
-//! How clients' requests delimit their bodies (RFC 9112, section 6), read beside hyper, which drops a
-//! Content-Length that comes with a Transfer-Encoding: a chunked request is believed only if it was seen to have
-//! no Content-Length.
+//! Determines how clients' requests delimit their bodies (RFC 9112, section 6). This runs alongside hyper, which drops
+//! a Content-Length that comes with a Transfer-Encoding: a chunked request is accepted only if it is known to have no
+//! Content-Length.
 
 use std::collections::VecDeque;
 
-/// The part of a head's line that is kept: a name and a length.
+/// Number of bytes kept of each line of a head: enough for a field name and a length.
 const MAX_LINE_BYTES: usize = 64;
-/// The most requests that were read and not asked for. Guards memory; hyper holds fewer heads than this.
+/// Maximum number of framings that were read but not yet returned. Bounds memory; hyper holds fewer heads than this.
 const MAX_PENDING: usize = 1024;
 
-/// How a request delimits its body.
+/// The way a request delimits its body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BodyFraming {
-    /// By its Content-Length, or it has no body.
+    /// By Content-Length, or the request has no body.
     ContentLength,
     /// By Transfer-Encoding alone.
     Chunked,
-    /// By both, which nobody should believe (RFC 9112, section 6.3).
+    /// By both, which must not be trusted (RFC 9112, section 6.3).
     Conflicting,
 }
 
-/// What the lines of one head have said so far.
+/// What was read of one request head so far.
 #[derive(Debug, Default)]
 struct Head {
     request_line_read: bool,
@@ -31,34 +31,34 @@
 }
 
 impl Head {
-    /// Reads a complete line; returns whether it was the one that ends the head.
+    /// Processes a complete line; returns whether it ends the head.
     fn end_line(&mut self) -> bool {
         let line = std::mem::take(&mut self.line);
         let line = line.strip_suffix(b"\r").unwrap_or(&line);
         if !self.request_line_read {
-            // Empty lines may come before a request (RFC 9112, section 2.2).
+            // Empty lines may precede a request line (RFC 9112, section 2.2).
             self.request_line_read = !line.is_empty();
             return false;
         }
         if !line.is_empty() {
-            self.field(line);
+            self.read_field(line);
         }
         line.is_empty()
     }
 
-    fn field(&mut self, line: &[u8]) {
+    fn read_field(&mut self, line: &[u8]) {
         let colon = line.iter().position(|byte| *byte == b':').unwrap_or(line.len());
         let (name, value) = line.split_at(colon);
         if name.eq_ignore_ascii_case(b"transfer-encoding") {
             self.chunked = true;
         } else if name.eq_ignore_ascii_case(b"content-length") {
             let digits = std::str::from_utf8(value).unwrap_or("").trim_start_matches(':').trim();
-            // One that can't be read is rejected by hyper where it counts.
+            // hyper rejects an invalid length where the length is used.
             self.content_length = Some(digits.parse().unwrap_or(u64::MAX));
         }
     }
 
-    /// How the request delimits its body, and what comes behind the head.
+    /// Returns how the request delimits its body, and the position after the head.
     fn framing(&self) -> (BodyFraming, Position) {
         match (self.content_length, self.chunked) {
             (Some(_), true) => (BodyFraming::Conflicting, Position::Unknown),
@@ -69,18 +69,19 @@
     }
 }
 
-/// Where in the stream of requests the reader is.
+/// The reader's position in the stream of requests.
 #[derive(Debug)]
 enum Position {
     Head(Head),
     Body {
         remaining: u64,
     },
-    /// Behind a chunked head, or one that can't be followed: the reader does not know where the next one begins.
+    /// After a head with chunked or conflicting framing, or after too many pending framings: the reader does not know
+    /// where the next head begins.
     Unknown,
 }
 
-/// Follows the bytes of one connection from head to head.
+/// Reads the request heads in the bytes of one connection and skips the bodies between them.
 #[derive(Debug)]
 pub struct FramingReader {
     position: Position,
@@ -94,12 +95,12 @@
 }
 
 impl FramingReader {
-    /// How the next request delimits its body, each asked for once and in order; `None` if that was not seen.
+    /// Returns the framing of the next request, in order and once for each; `None` if it is unknown.
     pub fn next(&mut self) -> Option<BodyFraming> {
         self.pending.pop_front()
     }
 
-    /// Reads bytes that have arrived.
+    /// Processes received bytes.
     pub fn read(&mut self, mut bytes: &[u8]) {
         while !bytes.is_empty() {
             bytes = match &mut self.position {
@@ -117,7 +118,7 @@
         }
     }
 
-    /// Reads a line of a head, or its start, and returns the bytes behind it.
+    /// Reads a line of a head, or a part of one, and returns the bytes after it.
     fn read_line<'a>(&mut self, bytes: &'a [u8]) -> &'a [u8] {
         let Position::Head(head) = &mut self.position else { return bytes };
         let line_end = bytes.iter().position(|byte| *byte == b'\n');
--- a/crates/gateway/src/http.rs
+++ b/crates/gateway/src/http.rs
@@ -1,11 +1,11 @@
-//! HTTP/1.1 as a client of backends, of the counter and of discovery.
+//! HTTP/1.1 client for backends, the counter and discovery.
 //!
 //! | module | job |
 //! | --- | --- |
-//! | `connection` | one connection: a call is written once, and its caller learns whether any of it was |
+//! | `connection` | one connection: a request is written at most once, and the caller learns whether any of it was |
 //! | `request_body` | the body of a request, complete or streamed |
-//! | `socket` | options of sockets |
-//! | `traffic` | whether bytes went over a connection |
+//! | `socket` | socket options |
+//! | `traffic` | whether bytes were sent or received on a connection |
 
 mod connection;
 mod request_body;
--- a/crates/gateway/src/http/connection.rs
+++ b/crates/gateway/src/http/connection.rs
@@ -1,5 +1,5 @@
-//! One HTTP/1.1 connection to a server. It never sends anything by itself: a call is written once, and the caller
-//! learns whether any of it was.
+//! One HTTP/1.1 client connection. It never retries: a request is written at most once, and the caller learns whether
+//! any of it was written.
 
 use super::request_body::RequestBody;
 use super::socket::disable_nagle;
@@ -25,46 +25,46 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// The longest body of any message that is not streamed.
+/// Maximum length of the body of a message that is not streamed.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
-/// The protocol machine's read buffer: a head, and a body that is not streamed.
+/// Size limit of the read buffer, which holds a head and a body that is not streamed.
 const MAX_BUFFER_BYTES: usize = 2 * MAX_BODY_BYTES;
 
-/// Why a call has no response.
+/// Error of a call that has no valid response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum CallError {
-    /// Nothing of it was written: it never reached the other side.
-    #[error("nothing of the call was sent")]
+    /// Nothing of the request was written, so the server did not receive it.
+    #[error("the call failed before any of the request was sent")]
     NotSent,
-    /// It broke after it was written, at least in part: it may have had its effect.
-    #[error("the call broke after it was sent, at least in part")]
+    /// The call failed after at least a part of the request was written. The server may have executed it.
+    #[error("the call failed after at least a part of the request was sent")]
     Broken,
 }
 
-/// A response, or as much of it as was to be read.
+/// A response, of which the body was read completely or up to a limit.
 pub enum ReceivedResponse {
-    /// All of it.
+    /// The complete response.
     Complete(Response<Bytes>),
-    /// Its start, and what the rest is read from.
+    /// The head with the rest of the body still to be read, and the chunks of the body that were read.
     Partial(Response<Incoming>, VecDeque<Bytes>),
 }
 
-/// The protocol machine of one connection, whose bytes are observed.
+/// hyper's side of the connection, whose traffic is observed.
 type Protocol = http1::Connection<TokioIo<Tapped<Rc<Traffic>>>, RequestBody>;
 
-/// A connection and its protocol machine. Dropping it closes the socket at once, whatever is under way.
+/// An HTTP/1.1 connection. Dropping it closes the socket at once, even during a call.
 pub struct Connection {
     sender: http1::SendRequest<RequestBody>,
     protocol: Pin<Box<Protocol>>,
     socket: Rc<RefCell<Socket>>,
     traffic: Rc<Traffic>,
     closed: bool,
-    /// When it was last released unused. Its owner sets this.
+    /// When the connection last became idle. Set by its owner.
     pub idle_since: Instant,
 }
 
 impl Connection {
-    /// Connects. The caller bounds the time.
+    /// Connects to `address`. The caller is responsible for a timeout.
     pub async fn open(address: SocketAddr) -> io::Result<Connection> {
         Connection::from_stream(TcpStream::connect(address).await?).await
     }
@@ -89,31 +89,31 @@
         })
     }
 
-    /// Whether it can carry another call, as far as the runtime has seen.
+    /// Returns whether the connection can be used for another call, by what the runtime has seen so far.
     pub fn is_usable(&mut self) -> bool {
         self.poll_protocol(&mut Context::from_waker(Waker::noop()));
         !self.closed && self.sender.is_ready()
     }
 
-    /// Whether the system holds nothing unread for it. Guards against writing a request behind a close, an error or
-    /// stray bytes that the runtime has not seen yet.
+    /// Returns whether the socket has no unread data, no error and no close by the peer that the runtime has not seen
+    /// yet. A request must not be written after any of these.
     pub fn has_no_unread_data(&self) -> bool {
         let mut byte = [MaybeUninit::uninit(); 1];
         let unread = SockRef::from(&*self.socket.borrow_mut().stream()).peek(&mut byte);
         unread.is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// What went over it since its present call began.
+    /// Returns the record of whether bytes were sent or received in the current call.
     pub fn traffic(&self) -> Rc<Traffic> {
         self.traffic.clone()
     }
 
     fn poll_protocol(&mut self, cx: &mut Context) {
-        // Once it has finished it must not be polled again.
+        // The future must not be polled again after it has completed.
         self.closed = self.closed || self.protocol.as_mut().poll(cx).is_ready();
     }
 
-    /// Polls a future with the protocol machine that feeds it; gives up when that finishes first.
+    /// Polls a future together with the protocol it depends on. Returns `None` if the protocol completes first.
     async fn drive<T>(&mut self, future: impl Future<Output = T>) -> Option<T> {
         let mut future = pin!(future);
         poll_fn(|cx| {
@@ -127,13 +127,13 @@
         .await
     }
 
-    /// Makes one call and reads the complete response. After an error the connection is of no further use.
+    /// Sends a request and reads the complete response. After an error the connection can't be used any more.
     pub async fn call(&mut self, request: Request<Full<Bytes>>) -> Result<Response<Bytes>, CallError> {
         let response = self.send(request.map(RequestBody::Complete)).await?;
         self.read_body(response).await
     }
 
-    /// Reads all of a response whose head was read.
+    /// Reads the complete body of a response.
     pub async fn read_body(&mut self, response: Response<Incoming>) -> Result<Response<Bytes>, CallError> {
         let (head, body) = response.into_parts();
         if body.size_hint().lower() > MAX_BODY_BYTES as u64 {
@@ -144,7 +144,8 @@
         Ok(Response::from_parts(head, body))
     }
 
-    /// Reads a response whose head was read, up to a bound. After an error the connection is of no further use.
+    /// Reads the body of a response until it ends or exceeds `max_bytes`. After an error the connection can't be used
+    /// any more.
     pub async fn read_body_up_to(
         &mut self,
         response: Response<Incoming>,
@@ -160,7 +161,7 @@
                 chunks.iter().for_each(|chunk| complete.extend_from_slice(chunk));
                 return Ok(ReceivedResponse::Complete(Response::from_parts(head, complete.freeze())));
             };
-            // Trailers are dropped: they hold for this connection alone.
+            // Trailers are dropped: they apply to this connection only.
             if let Ok(data) = frame?.into_data() {
                 length += data.len();
                 chunks.push_back(data);
@@ -169,7 +170,7 @@
         Ok(ReceivedResponse::Partial(Response::from_parts(head, body), chunks))
     }
 
-    /// Polls a response's body with the protocol machine that feeds it.
+    /// Polls the body of a response together with the protocol that reads it.
     pub fn poll_frame(
         &mut self,
         cx: &mut Context,
@@ -182,7 +183,7 @@
         }
     }
 
-    /// Makes one call and reads the head of its response. After an error the connection is of no further use.
+    /// Sends a request and reads the head of its response. After an error the connection can't be used any more.
     pub async fn send(&mut self, request: Request<RequestBody>) -> Result<Response<Incoming>, CallError> {
         self.traffic.reset();
         let sending = self.sender.try_send_request(request);
@@ -196,8 +197,9 @@
     }
 }
 
-/// Whether a response delimits its body in one way (RFC 9112, section 6.3). Guards against malformed responses of which
-/// a part would pass for the whole: two lengths, or none, so that any end of the connection looks like the body's.
+/// Returns whether a response delimits its body in exactly one way (RFC 9112, section 6.3). A truncated body could
+/// otherwise be treated as complete: if there are two lengths, or if there is none, so that any close of the connection
+/// looks like the end of the body.
 fn has_valid_framing(response: &Response<Incoming>) -> bool {
     let status = response.status();
     if status == StatusCode::NO_CONTENT || status == StatusCode::NOT_MODIFIED {
--- a/crates/gateway/src/http/request_body.rs
+++ b/crates/gateway/src/http/request_body.rs
@@ -1,4 +1,4 @@
-//! The body of a request.
+//! Request bodies, complete or streamed.
 
 use bytes::Bytes;
 use http_body_util::Full;
@@ -8,19 +8,19 @@
 use std::pin::Pin;
 use std::task::{Context, Poll};
 
-/// A body that is sent as it arrives.
+/// A request body that is sent while it is being received.
 pub type StreamedRequestBody = Pin<Box<dyn Body<Data = Bytes, Error = io::Error>>>;
 
 /// The body of a request.
 pub enum RequestBody {
-    /// All of it is known.
+    /// The complete body.
     Complete(Full<Bytes>),
-    /// It is sent as it arrives.
+    /// A body that is sent while it is being received.
     Streamed(StreamedRequestBody),
 }
 
 impl RequestBody {
-    /// No body.
+    /// Returns an empty body.
     pub fn empty() -> RequestBody {
         RequestBody::Complete(Full::default())
     }
--- a/crates/gateway/src/http/traffic.rs
+++ b/crates/gateway/src/http/traffic.rs
@@ -1,10 +1,10 @@
-//! Whether bytes went over a connection since its present call began.
+//! Records whether bytes were sent or received in the current call of a connection.
 
 use crate::tapped::Tap;
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// What went over a connection since its present call began.
+/// Whether bytes were sent or received since the current call began.
 #[derive(Debug, Default)]
 pub struct Traffic {
     sent: Cell<bool>,
@@ -12,18 +12,18 @@
 }
 
 impl Traffic {
-    /// A call begins.
+    /// Clears the record at the start of a call.
     pub(super) fn reset(&self) {
         self.sent.set(false);
         self.received.set(false);
     }
 
-    /// Whether a byte was written.
+    /// Returns whether any byte was sent.
     pub fn has_sent(&self) -> bool {
         self.sent.get()
     }
 
-    /// Whether a byte came back.
+    /// Returns whether any byte was received.
     pub fn has_received(&self) -> bool {
         self.received.get()
     }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,5 +1,5 @@
-//! The gateway on sockets: clients are held to their quotas and their requests forwarded to backends, as the policy
-//! engine (`lanespan_policy`) decides.
+//! The network side of the gateway: accepts clients' requests, enforces quotas and forwards requests to backends, as
+//! decided by the policy engine (`lanespan_policy`).
 
 mod admin;
 pub mod backend;
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -1,4 +1,4 @@
-//! Runs a gateway: binds its sockets, starts its parts, and serves until it is to stop.
+//! Runs a gateway: binds its sockets, starts its components, and serves until shutdown.
 
 use crate::admin;
 use crate::backoff::Backoff;
@@ -25,37 +25,37 @@
 use tokio::task::spawn_local;
 use tracing::info;
 
-/// The part of the memory that clients' bodies may fill.
-const BODIES_MEMORY_DIVISOR: usize = 8;
+/// Buffered request bodies may take this fraction of the configured memory: 1 / `BODY_MEMORY_DIVISOR`.
+const BODY_MEMORY_DIVISOR: usize = 8;
 
-/// Why a gateway could not start or go on.
+/// Error that prevents a gateway from starting or makes it stop.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
-    /// Its configuration makes no sense.
+    /// The configuration is invalid.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// It could not listen at an address.
+    /// Listening on an address failed.
     #[error("can't listen on {address}: {source}")]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// Why not.
+        /// The cause.
         source: io::Error,
     },
-    /// Its replication store or address can't be used.
+    /// The replication service could not start: its store or its address can't be used.
     #[error("fleet.plan: {0}")]
     Replication(#[source] ReplicationError),
-    /// Its driver ended.
-    #[error("the driver ended")]
+    /// The driver task ended.
+    #[error("the driver task ended unexpectedly")]
     DriverEnded,
 }
 
-/// Runs a gateway until `stopping` turns true and every accepted request is answered. It follows `upstreams` when
-/// they change.
+/// Runs a gateway until `stopping` becomes true and every accepted request is answered. Changes of `upstreams` are
+/// applied while it runs.
 ///
 /// # Errors
 ///
-/// Why the gateway could not start or go on.
+/// Returns an error if the gateway can't start, or if its driver ends.
 pub async fn run(
     config: Config,
     upstreams: watch::Receiver<Upstreams>,
@@ -75,27 +75,27 @@
     follow_upstreams(&setup, &driver, &signals);
     stop_pool_at_shutdown(driver.pool(), signals.stopping.clone());
     let context = server_context(setup, clock, &driver, fleet.clone(), signals.stopping);
-    let driving = spawn_local(driver.run());
-    // Guards against living on without a driver, accepting requests that nobody decides.
-    let ended = tokio::select! {
+    let driver_task = spawn_local(driver.run());
+    // Without a driver, requests would be accepted but never decided, so the gateway exits when its driver ends.
+    let result = tokio::select! {
         () = server::serve(listener, Rc::new(context)) => Ok(()),
-        _ = driving => Err(RunError::DriverEnded),
+        _ = driver_task => Err(RunError::DriverEnded),
     };
     if let Some(fleet) = fleet {
         fleet.leave();
     }
-    ended
+    result
 }
 
-/// What changes while the process runs.
+/// Inputs that change while the process runs.
 struct Signals {
-    /// The services that it calls, and the bounds on its connections.
+    /// The services that the gateway calls, and the limits on its connections.
     upstreams: watch::Receiver<Upstreams>,
-    /// Turns true at SIGTERM.
+    /// Becomes true on SIGTERM.
     stopping: watch::Receiver<bool>,
 }
 
-/// What the parts beside the driver need of the configuration.
+/// The configuration of the components other than the driver.
 struct Setup {
     name: String,
     listen: SocketAddr,
@@ -103,12 +103,12 @@
     fleet: Option<FleetSettings>,
     admin: Option<AdminSection>,
     names: Rc<Names>,
-    /// How many gateways call discovery, where each call is work for it; else 0.
+    /// The number of gateways whose calls load discovery; 0 if its load does not depend on them.
     gateways_calling_discovery: u32,
-    /// The revision of the saved endpoint list from which to watch.
+    /// The revision of the saved endpoint list, from which to watch for changes.
     saved_revision: Option<u64>,
     max_clients: usize,
-    bodies_memory: usize,
+    body_memory_bytes: usize,
     classes: HashMap<String, KnownClass>,
     plans: HashMap<String, PlanId>,
     max_request_units: f64,
@@ -120,7 +120,7 @@
 impl Setup {
     fn new(config: &Config) -> Setup {
         let settings = &config.site.settings;
-        // Where the list must be asked for, each call is work for a service that all gateways share.
+        // With a subscription, each call puts load on a service that all gateways share.
         let subscribes = settings.endpoint_subscription;
         let has_saved_list = !config.known.endpoints.is_empty();
         Setup {
@@ -133,7 +133,7 @@
             gateways_calling_discovery: if subscribes { settings.gateway_count } else { 0 },
             saved_revision: (subscribes && has_saved_list).then_some(config.known.revision),
             max_clients: config.sockets.clients,
-            bodies_memory: config.memory / BODIES_MEMORY_DIVISOR,
+            body_memory_bytes: config.memory / BODY_MEMORY_DIVISOR,
             classes: known_classes(config),
             plans: config.site.plans.iter().map(|(name, &id)| (name.clone(), PlanId(id))).collect(),
             max_request_units: settings.max_request_units,
@@ -160,7 +160,7 @@
     Ok((listener, address))
 }
 
-/// Joins the fleet, where there is one.
+/// Joins the fleet, if one is configured.
 async fn start_fleet(
     setup: &Setup,
     clock: Clock,
@@ -182,7 +182,7 @@
     Ok(Some(fleet))
 }
 
-/// Takes part in the replication of the fleet document, where this gateway is to.
+/// Starts replication of the fleet document, if it is configured.
 async fn start_replication(
     setup: &Setup,
     clock: Clock,
@@ -190,10 +190,10 @@
     driver: &mut Driver,
     signals: &Signals,
 ) -> Result<Option<Rc<ReplicationService>>, RunError> {
-    let (Some(in_fleet), Some(fleet)) = (&setup.fleet, fleet) else { return Ok(None) };
-    let Some(settings) = &in_fleet.plan else { return Ok(None) };
+    let (Some(fleet_settings), Some(fleet)) = (&setup.fleet, fleet) else { return Ok(None) };
+    let Some(settings) = &fleet_settings.plan else { return Ok(None) };
     let started =
-        ReplicationService::start(settings, &in_fleet.cluster, fleet.clone(), clock, setup.seed).await;
+        ReplicationService::start(settings, &fleet_settings.cluster, fleet.clone(), clock, setup.seed).await;
     let (service, listener) = started.map_err(RunError::Replication)?;
     let shown = service.clone();
     driver.show_replication(move || shown.metrics());
@@ -202,7 +202,7 @@
     Ok(Some(service))
 }
 
-/// Opens the admin interface, where there is one.
+/// Opens the admin interface, if it is configured.
 async fn start_admin(
     setup: &Setup,
     driver: &Driver,
@@ -211,14 +211,14 @@
 ) -> Result<(), RunError> {
     let Some(section) = &setup.admin else { return Ok(()) };
     let (listener, address) = bind(section.listen).await?;
-    // The rig finds the address by this line.
+    // The test harness reads the address from this log line.
     info!(%address, "the operators' door is open");
     let sources = admin::Sources { driver: driver.sender(), fleet, replication };
     spawn_local(admin::serve(listener, section.clone(), sources));
     Ok(())
 }
 
-/// Watches the endpoint list, and hands on what a new configuration says of services and bounds.
+/// Spawns the tasks that watch the endpoint list and apply configuration changes to services and limits.
 fn follow_upstreams(setup: &Setup, driver: &Driver, signals: &Signals) {
     let backoff = Backoff::new(setup.seed, setup.gateways_calling_discovery);
     spawn_local(discovery::watch(discovery::Params {
@@ -231,7 +231,7 @@
     spawn_local(apply_upstreams(signals.upstreams.clone(), driver.sender(), driver.pool(), driver.streams()));
 }
 
-/// Applies each change of the upstreams to the driver's counter, the pool and the streams.
+/// Applies each change of the upstreams to the driver's counter, the pool and the stream limits.
 async fn apply_upstreams(
     mut upstreams: watch::Receiver<Upstreams>,
     driver: DriverSender,
@@ -242,13 +242,13 @@
         let Upstreams { counter, pool: pool_settings, streaming, .. } = *upstreams.borrow_and_update();
         pool.configure(pool_settings);
         streams.configure(streaming);
-        if driver.send(DriverEvent::CounterMoved(counter)).await.is_err() {
+        if driver.send(DriverEvent::CounterAddressChanged(counter)).await.is_err() {
             return;
         }
     }
 }
 
-/// Keeps no idle connections once the gateway is to stop.
+/// Stops the pool at shutdown, so that it keeps no idle connections.
 fn stop_pool_at_shutdown(pool: Rc<Pool>, mut stopping: watch::Receiver<bool>) {
     spawn_local(async move {
         if stopping.wait_for(|stopping| *stopping).await.is_ok() {
@@ -273,7 +273,7 @@
         max_request_units: setup.max_request_units,
         gateway_count: setup.gateway_count,
         max_connections: setup.max_clients,
-        body_memory_bytes: setup.bodies_memory,
+        body_memory_bytes: setup.body_memory_bytes,
         stopping,
         streams: driver.streams(),
         max_retry_after: setup.retry_after,
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -1,13 +1,13 @@
-//! The clients' side: accepts connections, answers their requests, and closes them on a graceful shutdown.
+//! The client-facing server: accepts connections, answers their requests, and closes them on a graceful shutdown.
 //!
 //! | module | job |
 //! | --- | --- |
-//! | `table` | the open connections: which have to end for others, and when |
-//! | `connection` | one connection's life, as a state machine |
-//! | `http_connection`, `linger` | HTTP/1.1 on one connection, and its close |
-//! | `handler`, `request_head`, `submit`, `response` | a request: validated, handed to the driver, answered |
-//! | `transfer`, `transfer_progress` | streamed responses and uploads under way |
-//! | `shutdown` | the times of a graceful shutdown |
+//! | `table` | the open connections: limits, timeouts and eviction |
+//! | `connection` | the state machine of one connection |
+//! | `http_connection`, `linger` | HTTP/1.1 on one connection, and its lingering close |
+//! | `handler`, `request_head`, `submit`, `response` | a request: validated, submitted to the driver, answered |
+//! | `transfer`, `transfer_progress` | streamed responses and uploads in progress |
+//! | `shutdown` | the timing of a graceful shutdown |
 
 mod connection;
 mod context;
@@ -28,7 +28,7 @@
 
 use connection::ClientConnection;
 use http_connection::serve_connection;
-use shutdown::{ACCEPT_AFTER_SIGTERM, LAST_RESPONSES_TIME};
+use shutdown::{ACCEPT_AFTER_SIGTERM, LAST_RESPONSES_TIMEOUT};
 use std::rc::Rc;
 use std::time::Duration;
 use table::{ConnectionTable, SWEEP_INTERVAL};
@@ -36,10 +36,10 @@
 use tokio::time::{interval, sleep, sleep_until, timeout, Instant};
 use tracing::warn;
 
-/// The pause after an accept that failed, which it does at once while descriptors are short.
+/// Delay after a failed accept. While file descriptors are exhausted, accept fails immediately.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Serves clients until SIGTERM, answers what was accepted, and returns.
+/// Serves clients until SIGTERM, then answers the accepted requests and returns.
 pub async fn serve(listener: TcpListener, context: Rc<ServerContext>) {
     let table = Rc::new(ConnectionTable::new(context.max_connections, context.streams.clone()));
     let mut accepted = None;
@@ -48,8 +48,9 @@
     finish_responses(stopped_at, &context, &table).await;
 }
 
-/// Accepts connections until shortly after SIGTERM; returns when that came. `accepted` waits for its slot, which
-/// guards the limit on descriptors: only one connection does.
+/// Accepts connections until shortly after SIGTERM, and returns the time of SIGTERM. `accepted` holds the one
+/// connection that waits for a slot; no further connection is accepted meanwhile, which keeps the gateway within its
+/// limit on file descriptors.
 async fn accept_until_stopped(
     listener: TcpListener,
     accepted: &mut Option<TcpStream>,
@@ -62,7 +63,7 @@
     loop {
         tokio::select! {
             biased;
-            () = table.free_slot(), if accepted.is_some() => {
+            () = table.wait_for_slot(), if accepted.is_some() => {
                 if let Some(stream) = accepted.take() {
                     spawn_connection(stream, context.clone(), table.clone());
                 }
@@ -71,17 +72,17 @@
             _ = sweep.tick() => table.sweep(),
             Ok(_) = stopping.wait_for(|stopping| *stopping), if stopped_at.is_none() => {
                 stopped_at = Some(Instant::now());
-                // New connections are still accepted, so a client whose request crosses the close of its connection
-                // comes back on one of them.
+                // New connections are still accepted, so that a client whose request crosses the close of its
+                // connection can retry on a new one.
                 table.close_all_but_receiving();
             }
-            stopped_at = accept_time_over(stopped_at) => return stopped_at,
+            stopped_at = accept_period_ended(stopped_at) => return stopped_at,
         }
     }
 }
 
-/// Waits until no more connections are accepted; for ever where this gateway was not told to stop.
-async fn accept_time_over(stopped_at: Option<Instant>) -> Instant {
+/// Completes with the time of SIGTERM when connections are no longer accepted; never completes without SIGTERM.
+async fn accept_period_ended(stopped_at: Option<Instant>) -> Instant {
     match stopped_at {
         Some(stopped_at) => {
             sleep_until(stopped_at + ACCEPT_AFTER_SIGTERM).await;
@@ -91,13 +92,13 @@
     }
 }
 
-/// Accepts the next connection, trying again where that fails.
+/// Accepts the next connection, retrying after errors.
 async fn accept(listener: &TcpListener) -> TcpStream {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => return stream,
             Err(error) => {
-                warn!(%error, "accept failed, trying again");
+                warn!(%error, "accept failed, retrying");
                 sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
@@ -114,16 +115,17 @@
     });
 }
 
-/// Waits for the responses to what was accepted, as long as the platform lets a stopping gateway run.
+/// Waits for the responses to accepted requests, up to the time that the platform grants a stopping gateway.
 async fn finish_responses(stopped_at: Instant, context: &ServerContext, table: &ConnectionTable) {
-    let remaining = context.response_deadline.time.saturating_sub(stopped_at.elapsed());
-    if timeout(remaining, table.all_removed()).await.is_ok() {
+    let remaining = context.response_deadline.after_sigterm.saturating_sub(stopped_at.elapsed());
+    if timeout(remaining, table.wait_until_empty()).await.is_ok() {
         return;
     }
-    // A class may have a longer deadline than a stopping gateway has left: its requests are answered as failed.
-    context.response_deadline.pass();
-    if timeout(LAST_RESPONSES_TIME, table.all_removed()).await.is_err() {
-        warn!("connections were still open at the end of the shutdown");
+    // The deadline of a class may exceed the time that a stopping gateway has left: its requests are answered as
+    // failed.
+    context.response_deadline.expire();
+    if timeout(LAST_RESPONSES_TIMEOUT, table.wait_until_empty()).await.is_err() {
+        warn!("shutdown timed out with connections still open");
     }
 }
 
--- a/crates/gateway/src/server/connection.rs
+++ b/crates/gateway/src/server/connection.rs
@@ -1,4 +1,4 @@
-//! One client's connection: the state machine of its life, and the signals by which it is ended.
+//! The state machine of one client's connection, and the requests to end it.
 //!
 //! ```text
 //!  accepted
@@ -6,15 +6,15 @@
 //!     v        request accepted               streamed response begins
 //! Receiving ---------------------> Processing -------------------------> Streaming
 //!   |  ^                               |                                     |
-//!   |  | first byte of a request       | response complete                   | response over
+//!   |  | first byte of a request       | response complete                   | response ended
 //!   v  |                               v                                     |
 //!   Idle <-------------------------------------------------------------------+
 //!
-//! any phase -- the HTTP exchange is over, something was written --> Lingering
+//! any phase -- the HTTP exchange has ended after a response --> Lingering
 //! ```
 //!
-//! `ConnectionTable` decides when a connection has to end; it asks for that with [`ClientConnection::close`] or
-//! [`ClientConnection::abort`], and the task that serves the connection carries it out.
+//! `ConnectionTable` decides when a connection has to end and requests it with [`ClientConnection::close`] or
+//! [`ClientConnection::abort`]; the task that serves the connection carries out the request.
 
 use super::transfer_progress::TransferProgress;
 use crate::framing::{BodyFraming, FramingReader};
@@ -26,48 +26,49 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// What a client's connection is doing.
+/// The phase of a client's connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Phase {
-    /// It is new, or a part of a request has arrived.
+    /// The connection is new, or a part of a request has arrived.
     Receiving,
-    /// A request was accepted and has no response yet. Its upload may still be arriving.
+    /// A request was accepted and awaits its response. Its upload may still be arriving.
     Processing,
     /// A streamed response is being sent.
     Streaming,
-    /// Between requests.
+    /// No request is open.
     Idle,
-    /// This gateway has ended it and reads what its client still sends.
+    /// The gateway has closed its side and discards what the client still sends.
     Lingering,
 }
 
 /// The shared state of one client's connection.
 pub(super) struct ClientConnection {
     phase: Cell<Phase>,
-    /// When the phase began. An orderly close starts it anew.
+    /// When the phase began. Requesting a close resets it.
     phase_since: Cell<Instant>,
-    /// A part of a request has arrived, but not all of it.
+    /// Whether a part of a request has arrived, but not the complete request.
     request_started: Cell<bool>,
-    /// Something was written, which a TCP reset could destroy before the client has read it.
+    /// Whether anything was written; a TCP reset could discard it before the client has read it.
     response_written: Cell<bool>,
-    /// It ends with the response to what it is doing.
+    /// Whether the connection closes after the response to the current request.
     closing: Cell<bool>,
-    /// It ends at once.
+    /// Whether the connection is to be closed immediately.
     aborted: Cell<bool>,
-    /// Wakes the task that serves it after `closing` or `aborted` was set.
+    /// Wakes the task that serves the connection after `closing` or `aborted` was set.
     end_requested: Notify,
-    /// The streamed response that is being sent.
+    /// Progress of the streamed response that is being sent.
     response: TransferProgress,
-    /// The upload of the request that is open.
+    /// The upload of the open request.
     upload: RefCell<Option<Rc<Upload>>>,
-    /// It was aborted because a transfer was too slow.
+    /// Whether the connection was aborted because a transfer was too slow.
     aborted_as_slow: Cell<bool>,
-    /// How its requests delimit their bodies, where that is followed.
+    /// Reads how requests delimit their bodies, if that must be known.
     framing: Option<RefCell<FramingReader>>,
 }
 
 impl ClientConnection {
-    /// A connection that was just accepted. `follow_framing`: how its requests delimit their bodies must be known.
+    /// Creates the state of a newly accepted connection. `follow_framing` is set if it must be known how requests
+    /// delimit their bodies.
     pub(super) fn new(follow_framing: bool) -> ClientConnection {
         ClientConnection {
             phase: Cell::new(Phase::Receiving),
@@ -93,83 +94,83 @@
         }
     }
 
-    /// Bytes of the client have arrived.
+    /// Records bytes received from the client.
     fn bytes_received(&self, bytes: &[u8]) {
         if let Some(framing) = &self.framing {
             framing.borrow_mut().read(bytes);
         }
-        // The time for a request runs from its first byte: a partial one holds a persistent connection no longer
-        // than a new one.
+        // The receive timeout starts with the first byte of a request, so that a partial request can't hold a
+        // persistent connection longer than a new one.
         if !bytes.is_empty() && matches!(self.phase(), Phase::Idle | Phase::Receiving) {
             self.enter(Phase::Receiving);
             self.request_started.set(true);
         }
     }
 
-    /// A request's head is complete.
+    /// Records that the head of a request is complete.
     pub(super) fn head_received(&self) {
         self.enter(Phase::Receiving);
     }
 
-    /// A request was accepted: all of it has arrived, or all but an upload.
+    /// Records that a request was accepted: it has arrived completely, except for an upload.
     pub(super) fn request_accepted(&self) {
         self.enter(Phase::Processing);
     }
 
-    /// A streamed response begins.
+    /// Records the start of a streamed response.
     pub(super) fn response_streaming(&self) {
         self.enter(Phase::Streaming);
         self.response.begin();
     }
 
-    /// A response is complete, or its stream is over.
+    /// Records that a response is complete, or that its stream has ended.
     pub(super) fn response_finished(&self) {
         self.enter(Phase::Idle);
     }
 
-    /// The HTTP exchange is over; what still arrives is read and dropped.
+    /// Records the start of the lingering close: the HTTP exchange has ended, and further bytes are discarded.
     pub(super) fn lingering(&self) {
         self.enter(Phase::Lingering);
     }
 
-    /// What it is doing.
+    /// Returns the current phase.
     pub(super) fn phase(&self) -> Phase {
         self.phase.get()
     }
 
-    /// When it began to do that.
+    /// Returns when the current phase began, or when a close was requested in it.
     pub(super) fn phase_since(&self) -> Instant {
         self.phase_since.get()
     }
 
-    /// Whether it has been in this phase for longer than this.
+    /// Returns whether the connection has been in `phase` for longer than `limit`.
     pub(super) fn is_in_phase_longer_than(&self, phase: Phase, limit: Duration) -> bool {
         self.phase() == phase && self.phase_since().elapsed() > limit
     }
 
-    /// Whether a part of a request has arrived, but not all of it.
+    /// Returns whether a part of a request has arrived, but not the complete request.
     pub(super) fn has_partial_request(&self) -> bool {
         self.request_started.get()
     }
 
-    /// Whether anything was written to it.
+    /// Returns whether anything was written to the client.
     pub(super) fn has_response_bytes(&self) -> bool {
         self.response_written.get()
     }
 
-    /// Whether a request has arrived completely and has no response yet. While an upload arrives, its reader
-    /// notices when the client disconnects.
+    /// Returns whether a request has arrived completely and awaits its response. While an upload is arriving, its
+    /// reader detects when the client disconnects.
     pub(super) fn awaits_response(&self) -> bool {
         let is_complete = |upload: &Rc<Upload>| upload.is_complete();
         self.phase() == Phase::Processing && self.upload.borrow().as_ref().is_none_or(is_complete)
     }
 
-    /// How its next request delimits its body, where that was followed.
+    /// Returns how the next request delimits its body, if that is known.
     pub(super) fn next_framing(&self) -> Option<BodyFraming> {
         self.framing.as_ref().and_then(|framing| framing.borrow_mut().next())
     }
 
-    /// Ends it with the response to what it is doing.
+    /// Requests that the connection closes after the response to the current request.
     pub(super) fn close(&self) {
         if !self.closing.replace(true) {
             self.phase_since.set(Instant::now());
@@ -177,29 +178,29 @@
         }
     }
 
-    /// Ends it at once.
+    /// Requests that the connection is closed immediately.
     pub(super) fn abort(&self) {
         self.aborted.set(true);
         self.end_requested.notify_one();
     }
 
-    /// Ends it at once, because a transfer is too slow.
+    /// Requests that the connection is closed immediately, because a transfer is too slow.
     pub(super) fn abort_as_slow(&self) {
         self.aborted_as_slow.set(true);
         self.abort();
     }
 
-    /// Whether it ends with the response to what it is doing.
+    /// Returns whether a close after the current response was requested.
     pub(super) fn is_closing(&self) -> bool {
         self.closing.get()
     }
 
-    /// Whether it has to end at once.
+    /// Returns whether an immediate close was requested.
     pub(super) fn is_aborted(&self) -> bool {
         self.aborted.get()
     }
 
-    /// Whether it has to end at once because a transfer was too slow.
+    /// Returns whether an immediate close was requested because a transfer was too slow.
     pub(super) fn is_aborted_as_slow(&self) -> bool {
         self.aborted_as_slow.get()
     }
@@ -216,17 +217,17 @@
         }
     }
 
-    /// Sets the upload of the request that is open, or clears it.
+    /// Sets or clears the upload of the open request.
     pub(super) fn set_upload(&self, upload: Option<Rc<Upload>>) {
         self.upload.replace(upload);
     }
 
-    /// Bytes of a streamed response were handed to the protocol.
+    /// Records bytes of a streamed response that were passed to the HTTP connection.
     pub(super) fn response_progress(&self, bytes: u64) {
         self.response.add(bytes);
     }
 
-    /// Whether a transfer takes too long, or too little of it went through in a window.
+    /// Returns whether a transfer takes too long, or transferred too few bytes in a window.
     pub(super) fn is_transfer_too_slow(&self, settings: &StreamSettings) -> bool {
         if self.upload.borrow().as_ref().is_some_and(|upload| upload.is_client_too_slow(settings)) {
             return true;
@@ -235,7 +236,7 @@
     }
 }
 
-/// Follows the bytes of a client's connection.
+/// Reports the traffic of a client's connection to its [`ClientConnection`].
 pub(super) struct ConnectionTap(pub(super) Rc<ClientConnection>);
 
 impl Tap for ConnectionTap {
--- a/crates/gateway/src/server/context.rs
+++ b/crates/gateway/src/server/context.rs
@@ -1,4 +1,4 @@
-//! What all connections of clients share.
+//! State shared by all client connections.
 
 use super::open_requests::ClientRequestIds;
 use super::shutdown::ResponseDeadline;
@@ -14,52 +14,53 @@
 use std::time::Duration;
 use tokio::sync::{watch, Semaphore};
 
-/// What requests of a class must be.
+/// A configured class and the rules for its requests.
 #[derive(Debug, Clone, Copy)]
 pub struct KnownClass {
-    /// Its number.
+    /// The id of the class.
     pub id: ClassId,
-    /// Which decides the requests' method; `None` if that is not known, so any method may be right.
+    /// Determines the method and idempotency key that requests must have; `None` if it is not known, so that neither is
+    /// checked.
     pub idempotency: Option<Idempotency>,
-    /// The longest that a client waits.
+    /// Upper limit of the time that a client waits.
     pub deadline: Micros,
 }
 
-/// What a server is made of.
+/// Parameters of a [`ServerContext`].
 pub struct ServerParams {
     /// Sends events to the driver.
     pub driver: DriverSender,
     /// The policy engine's clock.
     pub clock: Clock,
-    /// Whether a list of backends is known.
+    /// Whether the gateway has an endpoint list.
     pub ready: Rc<Cell<bool>>,
-    /// The request classes by their names.
+    /// Request classes by name.
     pub classes: HashMap<String, KnownClass>,
-    /// The quota plans by their names.
+    /// Quota plans by name.
     pub plans: HashMap<String, PlanId>,
-    /// The most units that a request may take.
+    /// Maximum units of a request.
     pub max_request_units: f64,
     /// The number of gateways.
     pub gateway_count: u32,
-    /// The most connections of clients at once.
+    /// Maximum number of concurrent client connections.
     pub max_connections: usize,
-    /// The memory for requests' bodies that are read before they are forwarded.
+    /// Memory for request bodies that are read completely before they are forwarded.
     pub body_memory_bytes: usize,
-    /// Turns true on SIGTERM.
+    /// Becomes true on SIGTERM.
     pub stopping: watch::Receiver<bool>,
-    /// What streamed responses and uploads share.
+    /// Limits shared by streamed responses and uploads.
     pub streams: Rc<StreamLimits>,
-    /// The longest Retry-After that a rejected client gets; `None`: it gets none.
+    /// Maximum Retry-After sent to rejected clients; `None` if none is sent.
     pub max_retry_after: Option<Micros>,
-    /// What the deployment calls things on its sockets.
+    /// Names of headers, paths and parameters in this deployment.
     pub names: Rc<Names>,
     /// The longest deadline of all classes.
     pub longest_deadline: Duration,
-    /// The fleet, where this gateway is a member of one.
+    /// The fleet, if this gateway is a member of one.
     pub fleet: Option<Rc<Fleet>>,
 }
 
-/// What all connections of clients share.
+/// State shared by all client connections.
 pub struct ServerContext {
     pub(super) driver: DriverSender,
     pub(super) clock: Clock,
@@ -73,7 +74,7 @@
     pub(super) streams: Rc<StreamLimits>,
     pub(super) max_retry_after: Option<Micros>,
     pub(super) names: Rc<Names>,
-    /// Permits for the bytes of bodies that are read before they are forwarded.
+    /// Permits for the bytes of request bodies that are read completely before they are forwarded.
     pub(super) body_memory: Semaphore,
     pub(super) open_requests: ClientRequestIds,
     pub(super) response_deadline: ResponseDeadline,
@@ -82,7 +83,7 @@
 }
 
 impl ServerContext {
-    /// A server's context; no request is open.
+    /// Creates the context of a server without open requests.
     pub fn new(params: ServerParams) -> ServerContext {
         ServerContext {
             driver: params.driver,
@@ -105,24 +106,24 @@
         }
     }
 
-    /// Whether this gateway has been told to stop.
+    /// Returns whether the gateway is shutting down.
     pub(super) fn is_stopping(&self) -> bool {
         *self.stopping.borrow()
     }
 
-    /// Whether this gateway takes requests for the service.
+    /// Returns whether the gateway is ready for API requests.
     pub(super) fn is_ready(&self) -> bool {
         self.ready.get() && !self.is_stopping()
     }
 
-    /// A new number for a request.
+    /// Returns a new request id.
     pub(super) fn next_request(&self) -> RequestId {
         let next = RequestId(self.last_request.get().0 + 1);
         self.last_request.set(next);
         next
     }
 
-    /// Of the gateways that a customer's requests come to, those that run.
+    /// Returns how many of the gateways that receive a customer's requests are active.
     pub(super) fn active_gateways(&self, first_gateway: u32, gateway_spread: u32) -> u32 {
         self.fleet.as_ref().map_or(gateway_spread, |fleet| fleet.quota_divisor(first_gateway, gateway_spread))
     }
--- a/crates/gateway/src/server/error.rs
+++ b/crates/gateway/src/server/error.rs
@@ -1,44 +1,45 @@
-//! Why a request is answered without a decision of the policy engine.
+//! Errors for which a request is answered without involving the policy engine.
 
 use hyper::StatusCode;
 
-/// What is wrong with a request, or what this gateway has not got for it.
+/// Error in a request, or lack of a resource to process it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum RequestError {
-    /// Both Content-Length and Transfer-Encoding, or chunks where nothing is streamed (RFC 9112, section 6.3).
+    /// Transfer-Encoding on a request that also has a Content-Length, or while streaming is off (RFC 9112, section
+    /// 6.3).
     AmbiguousBodyLength,
-    /// A header that may appear once appears twice.
+    /// A header that may appear only once is repeated.
     DuplicateHeader,
-    /// No class that the configuration has.
+    /// The class is missing or not configured.
     UnknownClass,
-    /// No quota plan that the configuration has.
+    /// The quota plan is missing or not configured.
     UnknownPlan,
-    /// No customer id.
+    /// The customer id is missing or malformed.
     InvalidCustomer,
-    /// No time that the client waits.
+    /// The time that the client waits is missing or malformed.
     InvalidBudget,
-    /// No quota header, or one out of its ranges.
+    /// The quota header is missing, malformed or out of range.
     InvalidQuota,
-    /// No request id.
+    /// The request id is missing or empty.
     MissingRequestId,
-    /// A request of that id is open.
+    /// A request with the same id is open.
     DuplicateRequestId,
-    /// The class has another method.
+    /// The method is not the one of the class.
     WrongMethod,
-    /// The class needs an idempotency key.
+    /// The class requires an idempotency key, which is missing or empty.
     MissingIdempotencyKey,
-    /// A body longer than a message may be where nothing is streamed.
+    /// The body exceeds the limit for messages that are not streamed.
     BodyTooLong,
-    /// No memory for the body.
+    /// There is no memory for the body.
     NoMemoryForBody,
-    /// The client's side ended before the body did.
+    /// The connection ended before the body was complete.
     IncompleteBody,
-    /// No such path.
+    /// The path is not served.
     UnknownPath,
 }
 
 impl RequestError {
-    /// The status (RFC 9110, section 15) and the text by which the client learns of it.
+    /// Returns the status (RFC 9110, section 15) and the text of the response.
     pub(super) fn response(self) -> (StatusCode, &'static str) {
         use RequestError as E;
         match self {
--- a/crates/gateway/src/server/handler.rs
+++ b/crates/gateway/src/server/handler.rs
@@ -1,4 +1,4 @@
-//! The way of a request from its head to its response.
+//! Handles a client's request, from its head to its response.
 
 use super::connection::ClientConnection;
 use super::context::ServerContext;
@@ -25,12 +25,12 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Where requests for the service come.
+/// The path of API requests.
 const API_PATH: &str = "/api";
-/// The Retry-After of a client for whose upload there is no memory.
+/// Retry-After of a response to an upload for which there is no memory.
 const NO_MEMORY_RETRY_AFTER: Micros = Micros::from_secs(1);
 
-/// Answers a request.
+/// Handles a request and returns its response.
 pub(super) async fn handle(
     request: Request<Incoming>,
     context: &Rc<ServerContext>,
@@ -79,7 +79,7 @@
     }
 }
 
-/// A request for the service whose head was parsed.
+/// An API request whose head was parsed.
 struct ApiRequest<'a> {
     head: Parts,
     parsed: RequestHead,
@@ -96,9 +96,9 @@
         }
     }
 
-    /// Reads the complete body, then has the driver decide the request.
+    /// Reads the complete body, then forwards the request.
     async fn handle_buffered(self, body: Incoming) -> Result<Response<ResponseBody>, RequestError> {
-        // Guards memory: the body's length is known before any of it is read.
+        // Bounds memory: the length of the body is checked before any of it is read.
         let length = body.size_hint().upper().unwrap_or(u64::MAX);
         if length > MAX_BODY_BYTES as u64 {
             return Err(RequestError::BodyTooLong);
@@ -111,7 +111,7 @@
         Ok(self.forward(Payload::Complete(body), open_request).await)
     }
 
-    /// Has the driver decide the request while its body arrives.
+    /// Forwards the request while its body is arriving.
     async fn handle_upload(
         self,
         body: Incoming,
@@ -133,12 +133,12 @@
             UploadInProgress::begin(connection, Upload::new(source, replay_bytes, budget, memory));
         let payload = Payload::Upload(in_progress.upload.clone());
         let response = self.forward(payload, open_request).await;
-        // Bytes behind a chunked body are not followed, so their framing would not be believed.
+        // The framing of requests after a chunked body is unknown, so it could not be trusted.
         let may_continue = in_progress.upload.is_complete() && framing != Some(BodyFraming::Chunked);
         Ok(if may_continue { response } else { with_connection_close(response) })
     }
 
-    /// Has the driver decide the request, and answers it.
+    /// Submits the request to the driver and converts the final answer to a response.
     async fn forward(self, body: Payload, open_request: ClientRequestGuard) -> Response<ResponseBody> {
         let RequestHead { arrival, budget, .. } = self.parsed;
         let mut headers = self.head.headers;
@@ -166,7 +166,7 @@
     }
 }
 
-/// Rejects an upload before the driver learns of it.
+/// Rejects an upload for lack of memory; it is not submitted to the driver.
 fn no_memory_for_upload(context: &ServerContext) -> Response<ResponseBody> {
     let mut response = error_response(RequestError::NoMemoryForBody);
     set_retry_after(&mut response, context.max_retry_after.map(|longest| longest.min(NO_MEMORY_RETRY_AFTER)));
--- a/crates/gateway/src/server/http_connection.rs
+++ b/crates/gateway/src/server/http_connection.rs
@@ -20,22 +20,22 @@
 use tokio::net::TcpStream;
 use tracing::debug;
 
-/// The longest head of a request. Guards memory against heads without end.
+/// Maximum length of a request's head. Bounds memory for heads that never end.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
 
 /// How the HTTP exchange on a connection ended.
 enum ExchangeEnd {
-    /// The last response was sent, or an error response to what could not be parsed.
+    /// The last response was sent, or an error response to a request that could not be parsed.
     Complete,
-    /// The connection broke.
+    /// The connection failed.
     Broken,
-    /// The client left before its response.
+    /// The client disconnected before its response.
     ClientDisconnected,
-    /// This gateway ends the connection at once.
+    /// The gateway closes the connection immediately.
     Aborted,
 }
 
-/// The protocol machine of a client's connection.
+/// hyper's side of a client's connection.
 type Protocol<S> = http1::Connection<TokioIo<Tapped<ConnectionTap>>, S>;
 
 /// Serves one connection until it is closed.
@@ -51,7 +51,7 @@
     });
     let socket = Rc::new(RefCell::new(Socket::new(stream)));
     let io = TokioIo::new(Tapped::new(socket.clone(), ConnectionTap(connection.clone())));
-    // The protocol machine lives until the socket is closed: it may hold the end of a streamed response.
+    // hyper's side lives until the socket is closed, because it may hold the end of a streamed response.
     let mut protocol = pin!(http1::Builder::new().max_buf_size(MAX_HEAD_BYTES).serve_connection(io, service));
     let end = exchange(protocol.as_mut(), &socket, connection).await;
     if matches!(end, ExchangeEnd::Complete) && connection.has_response_bytes() {
@@ -60,7 +60,7 @@
     }
 }
 
-/// Carries the HTTP exchange on until it ends.
+/// Runs the HTTP exchange until it ends.
 async fn exchange<S>(
     mut protocol: Pin<&mut Protocol<S>>,
     socket: &RefCell<Socket>,
@@ -72,15 +72,15 @@
     loop {
         tokio::select! {
             biased;
-            done = protocol.as_mut() => return exchange_end(done),
-            // Nobody waits for a response any more: the request ends with the connection.
+            result = protocol.as_mut() => return exchange_end(result),
+            // The client no longer waits for a response: the request ends with the connection.
             () = client_disconnected(socket, connection) => return ExchangeEnd::ClientDisconnected,
             () = connection.end_requested() => {
                 if connection.is_aborted() {
                     return ExchangeEnd::Aborted;
                 }
-                // hyper takes no notice of a partial request on a connection that has had a response, and would close
-                // it. The request is answered with the end of the connection instead.
+                // hyper ignores a partial request on a connection that has had a response, and would close the
+                // connection. Instead the request is answered with `Connection: close`.
                 if !connection.has_partial_request() {
                     protocol.as_mut().graceful_shutdown();
                 }
@@ -89,8 +89,8 @@
     }
 }
 
-fn exchange_end(done: hyper::Result<()>) -> ExchangeEnd {
-    match done {
+fn exchange_end(result: hyper::Result<()>) -> ExchangeEnd {
+    match result {
         Ok(()) => ExchangeEnd::Complete,
         Err(error) => {
             debug!(%error, "client connection ended with an error");
@@ -102,10 +102,10 @@
     }
 }
 
-/// Waits until the client of a request that has no response yet has closed its connection, also behind bytes that it
-/// sent after the request.
+/// Waits until the client of a request that awaits its response has closed the connection, even after it has sent more
+/// bytes following the request.
 async fn client_disconnected(socket: &RefCell<Socket>, connection: &ClientConnection) {
-    // Polled with the protocol machine, whose progress changes the phase, so no other wake-up is needed.
+    // Polled together with the HTTP connection, whose progress changes the phase, so no other wake-up is needed.
     poll_fn(|cx| match connection.awaits_response() {
         true => socket.borrow_mut().poll_closed(cx),
         false => Poll::Pending,
--- a/crates/gateway/src/server/linger.rs
+++ b/crates/gateway/src/server/linger.rs
@@ -1,6 +1,6 @@
 //! The lingering close of a client's connection (RFC 9112, section 9.6): its writing side is closed first, and what
-//! the client still sends is read and dropped. Guards against a reset that takes the last response away, which
-//! follows where a socket is closed with bytes unread.
+//! the client still sends is read and discarded. Closing a socket with unread bytes causes a TCP reset, which could
+//! discard the last response before the client has read it.
 
 use super::connection::ClientConnection;
 use crate::tapped::Socket;
@@ -11,27 +11,27 @@
 use tokio::io::{AsyncRead as _, AsyncWrite as _, ReadBuf};
 use tokio::time::timeout;
 
-/// How long a connection lingers at most.
+/// Maximum duration of a lingering close.
 pub(super) const MAX_LINGER: Duration = Duration::from_secs(2);
-/// How much is read from one that lingers, at most.
+/// Maximum number of bytes read during a lingering close.
 const MAX_LINGER_BYTES: usize = 256 * 1024;
 const READ_SIZE_BYTES: usize = 4096;
 
-/// Closes a connection so, until the client closes its side, the limits are reached, or it is aborted.
+/// Performs a lingering close, until the client closes its side, a limit is reached, or the connection is aborted.
 pub(super) async fn linger(socket: &RefCell<Socket>, connection: &ClientConnection) {
     let close = async {
-        // Where a request could not be parsed, the writing side is still open.
+        // After a request that could not be parsed, the writing side is still open.
         poll_fn(|cx| socket.borrow_mut().stream().poll_shutdown(cx)).await?;
         drain(socket).await
     };
     tokio::select! {
         () = connection.until_aborted() => {}
-        // However it ends, the socket is closed next.
+        // The result does not matter, because the socket is closed next.
         _ = timeout(MAX_LINGER, close) => {}
     }
 }
 
-/// Reads to the client's end, or to the limit.
+/// Reads and discards bytes until the client closes its side or the limit is reached.
 async fn drain(socket: &RefCell<Socket>) -> io::Result<()> {
     let mut bytes = [0; READ_SIZE_BYTES];
     let mut remaining = MAX_LINGER_BYTES;
--- a/crates/gateway/src/server/open_requests.rs
+++ b/crates/gateway/src/server/open_requests.rs
@@ -1,4 +1,4 @@
-//! The requests that are open at this gateway, by the ids that their clients gave them.
+//! Tracks the open requests of this gateway by the ids that clients gave them.
 
 use super::error::RequestError;
 use hyper::header::HeaderValue;
@@ -6,13 +6,13 @@
 use std::collections::HashSet;
 use std::rc::Rc;
 
-/// The ids of open requests. Guards against two requests of one id at the backends, which take the second one for
-/// a copy of the first.
+/// The client-assigned ids of open requests. Two requests with the same id must not be forwarded, because backends
+/// treat the second one as a copy of the first.
 #[derive(Clone, Default)]
 pub(super) struct ClientRequestIds(Rc<RefCell<HashSet<HeaderValue>>>);
 
 impl ClientRequestIds {
-    /// Opens a request of this id, unless one is open.
+    /// Registers a request, unless one with the same id is open.
     pub(super) fn open(&self, client_id: HeaderValue) -> Result<ClientRequestGuard, RequestError> {
         match self.0.borrow_mut().insert(client_id.clone()) {
             true => Ok(ClientRequestGuard { requests: self.clone(), client_id }),
@@ -21,7 +21,7 @@
     }
 }
 
-/// An open request; its id is free again once this is dropped.
+/// An open request; dropping it releases the id.
 pub(super) struct ClientRequestGuard {
     requests: ClientRequestIds,
     client_id: HeaderValue,
--- a/crates/gateway/src/server/request_head.rs
+++ b/crates/gateway/src/server/request_head.rs
@@ -1,4 +1,4 @@
-//! Validates a request's head and reads from it what the policy engine must know.
+//! Validates a request's head and extracts the attributes that the policy engine needs.
 
 use super::context::{KnownClass, ServerContext};
 use super::error::RequestError;
@@ -10,16 +10,16 @@
 use lanespan_policy::{Arrival, CustomerId, Idempotency, Micros};
 use std::collections::HashMap;
 
-/// Customer ids are below this.
+/// Exclusive upper limit of customer ids.
 const CUSTOMER_ID_LIMIT: u64 = 1 << 33;
 const CUSTOMER_ID_HEX_DIGITS: usize = 16;
 const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
-/// Headers that may appear once in a request, beside those that the deployment names.
+/// Headers that may appear only once in a request, in addition to those whose names are configured.
 const SINGLETON_HEADERS: [HeaderName; 3] = [header::CONTENT_LENGTH, header::HOST, IDEMPOTENCY_KEY];
 
-/// What a request's head says.
+/// A validated request head.
 pub(super) struct RequestHead {
-    /// What the policy engine must know. Its `request` and `deadline` are not set yet.
+    /// The request's attributes for the policy engine. Its `request` and `deadline` are not set yet.
     pub(super) arrival: Arrival,
     /// The id that the client gave the request.
     pub(super) client_id: HeaderValue,
@@ -28,7 +28,7 @@
 }
 
 impl RequestHead {
-    /// Reads a head. `framing`: how the request was seen to delimit its body.
+    /// Validates a head. `framing` is how the request delimits its body, if that is known.
     pub(super) fn parse(
         head: &Parts,
         framing: Option<BodyFraming>,
@@ -59,23 +59,24 @@
             is_client_retry: text(headers, &names.retry) == Some("1"),
             ..Arrival::default()
         };
-        // No client waits longer than its class says.
+        // The deadline of the class limits the time that a client waits.
         Ok(RequestHead { arrival, client_id, budget: budget.min(class.deadline) })
     }
 }
 
-/// A header's value as text.
+/// Returns the value of a header as text.
 fn text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
     headers.get(name).and_then(|value| value.to_str().ok())
 }
 
-/// What the configuration has by the name that a header gives.
+/// Looks up the configured item that a header names.
 fn find<'a, T>(headers: &HeaderMap, name: &HeaderName, known: &'a HashMap<String, T>) -> Option<&'a T> {
     text(headers, name).and_then(|value| known.get(value))
 }
 
-/// Guards against request smuggling (RFC 9112, section 11.2): a second request hidden in the body, which is there for
-/// a peer that goes by the other one of two lengths (section 6.3). hyper drops the length of a body that is chunked as well.
+/// Rejects requests whose body length is ambiguous, to prevent request smuggling (RFC 9112, section 11.2): with two
+/// lengths (section 6.3), a peer that uses the other one would find a second request hidden in the body. hyper drops
+/// the Content-Length of a chunked request, so the headers alone do not show this.
 fn check_body_length(headers: &HeaderMap, framing: Option<BodyFraming>) -> Result<(), RequestError> {
     if headers.contains_key(header::TRANSFER_ENCODING) && framing != Some(BodyFraming::Chunked) {
         return Err(RequestError::AmbiguousBodyLength);
@@ -83,7 +84,8 @@
     Ok(())
 }
 
-/// Guards against two readings of one request: no rule says which one of two values counts.
+/// Rejects repeated singleton headers: no rule defines which of two values applies, so two peers could interpret the
+/// request differently.
 fn check_duplicates(headers: &HeaderMap, names: &Headers) -> Result<(), RequestError> {
     let has_duplicates = headers.keys_len() < headers.len();
     let is_duplicate = |name: &HeaderName| headers.get_all(name).iter().nth(1).is_some();
@@ -93,13 +95,13 @@
     Ok(())
 }
 
-/// Whether a request may have this header once only.
+/// Returns whether a request may have this header only once.
 fn is_singleton(name: &HeaderName, names: &Headers) -> bool {
     let Headers { request_id, class, plan, timeout, retry, quota, .. } = names;
     SINGLETON_HEADERS.contains(name) || [request_id, class, plan, timeout, retry, quota].contains(&name)
 }
 
-/// Checks the method by which requests of a class come, and their idempotency key.
+/// Checks that the method and the idempotency key match the class.
 fn check_idempotency(method: &Method, headers: &HeaderMap, class: &KnownClass) -> Result<(), RequestError> {
     let Some(idempotency) = class.idempotency else { return Ok(()) };
     let expected = match idempotency {
@@ -121,7 +123,7 @@
     Some(Micros(milliseconds.saturating_mul(1000)))
 }
 
-/// The customer's id: the one parameter of this name, with its `=`, in the query.
+/// Parses the customer's id from the query. `parameter`, which includes the `=`, must appear exactly once.
 fn customer_id(query: &str, parameter: &str) -> Option<CustomerId> {
     let mut values = query.split('&').filter_map(|pair| pair.strip_prefix(parameter));
     let digits = values.next()?;
@@ -136,21 +138,21 @@
 /// The quota header: `units=2,spread=3,first=1`.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct QuotaHeader {
-    /// What the request takes of the customer's quota.
+    /// Units that the request takes from the customer's quota.
     pub(super) units: f64,
-    /// The number of gateways that the customer's requests come to.
+    /// Number of gateways that receive the customer's requests.
     pub(super) gateway_spread: u32,
-    /// The first of these.
+    /// The first of these gateways.
     pub(super) first_gateway: u32,
 }
 
 impl QuotaHeader {
-    /// Reads the header. Guards against values that no class and no tier has: any client could have them charged to a
-    /// customer whose id it knows.
+    /// Parses the header and rejects values out of range. Otherwise any client could have units that no class and no
+    /// tier has charged to a customer whose id it knows.
     pub(super) fn parse(value: &str, max_units: f64, gateway_count: u32) -> Option<QuotaHeader> {
         let (mut units, mut gateway_spread, mut first_gateway) = (None, None, None);
         for field in value.split(',') {
-            // Fields that later editions add, in whatever form, are passed over.
+            // Unknown fields of any form are ignored, so that later versions can add some.
             let Some((name, value)) = field.trim().split_once('=') else { continue };
             let is_first = match name {
                 "units" => set(&mut units, value, |units| *units > 0.0 && *units <= max_units)?,
@@ -166,7 +168,7 @@
     }
 }
 
-/// Sets a field; `None` if its value is out of range, otherwise whether it had none before.
+/// Sets a field. Returns `None` if the value is invalid or out of range, otherwise whether the field was unset before.
 fn set<T: std::str::FromStr>(
     field: &mut Option<T>,
     value: &str,
--- a/crates/gateway/src/server/shutdown.rs
+++ b/crates/gateway/src/server/shutdown.rs
@@ -1,49 +1,49 @@
-//! The times of a graceful shutdown.
+//! The timing of a graceful shutdown.
 //!
 //! On SIGTERM `/_health` fails and idle connections are closed, but new ones are still accepted for
-//! [`ACCEPT_AFTER_SIGTERM`]. Then the gateway waits for the responses to what it has accepted, as long as the
-//! platform lets it: SIGKILL comes no earlier than the longest deadline of a class, taken as
-//! [`MAX_AWAITED_DEADLINE`] where it is longer, and 0.7 s after SIGTERM. Requests that have no response shortly
-//! before that are answered as failed.
+//! [`ACCEPT_AFTER_SIGTERM`]. Then the gateway waits for the responses to accepted requests, as long as the
+//! platform permits: it sends SIGKILL no earlier than 0.7 s plus the longest deadline of a class after SIGTERM, where a
+//! deadline longer than [`MAX_AWAITED_DEADLINE`] counts as that. Requests that have no response shortly before SIGKILL
+//! are answered as failed.
 
 use std::cell::Cell;
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// How long after SIGTERM new connections are accepted; the platform sends some for another 0.4 s.
+/// How long after SIGTERM new connections are accepted; the platform routes connections here for another 0.4 s.
 pub(super) const ACCEPT_AFTER_SIGTERM: Duration = Duration::from_millis(600);
-/// Deadlines longer than this do not put SIGKILL off any further.
+/// Longer deadlines than this do not delay SIGKILL any further.
 const MAX_AWAITED_DEADLINE: Duration = Duration::from_secs(3);
-/// A request that is still open so long after the longest deadline is answered as failed.
+/// Time after the longest deadline at which requests that are still open are answered as failed.
 const FAIL_AFTER_DEADLINE: Duration = Duration::from_millis(400);
-/// The time for these last responses to be sent.
-pub(super) const LAST_RESPONSES_TIME: Duration = Duration::from_millis(200);
+/// Time limit for sending these last responses.
+pub(super) const LAST_RESPONSES_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// The time after which a stopping gateway waits no longer for its backends.
+/// The point of a shutdown after which the gateway no longer waits for backends.
 pub(super) struct ResponseDeadline {
-    /// From SIGTERM on.
-    pub(super) time: Duration,
-    passed: Cell<bool>,
+    /// Time from SIGTERM to the deadline.
+    pub(super) after_sigterm: Duration,
+    expired: Cell<bool>,
     waiting: Notify,
 }
 
 impl ResponseDeadline {
-    /// The deadline of a gateway whose clients wait for no longer than this.
+    /// Creates the deadline for the longest deadline of all classes.
     pub(super) fn new(longest_deadline: Duration) -> ResponseDeadline {
-        let time = longest_deadline.min(MAX_AWAITED_DEADLINE) + FAIL_AFTER_DEADLINE;
-        ResponseDeadline { time, passed: Cell::new(false), waiting: Notify::new() }
+        let after_sigterm = longest_deadline.min(MAX_AWAITED_DEADLINE) + FAIL_AFTER_DEADLINE;
+        ResponseDeadline { after_sigterm, expired: Cell::new(false), waiting: Notify::new() }
     }
 
-    /// Ends all waits, and those that begin later.
-    pub(super) fn pass(&self) {
-        self.passed.set(true);
+    /// Ends all present and future waits.
+    pub(super) fn expire(&self) {
+        self.expired.set(true);
         self.waiting.notify_waiters();
     }
 
     /// Waits until the deadline has passed.
     pub(super) async fn wait(&self) {
-        // One thread: nothing runs between the check and the wait.
-        if !self.passed.get() {
+        // Single-threaded: nothing else runs between the check and the wait.
+        if !self.expired.get() {
             self.waiting.notified().await;
         }
     }
--- a/crates/gateway/src/server/submit.rs
+++ b/crates/gateway/src/server/submit.rs
@@ -1,4 +1,4 @@
-//! Hands a request to the driver and waits for its final answer.
+//! Submits a request to the driver and waits for its final answer.
 
 use super::context::ServerContext;
 use crate::backend::Forward;
@@ -7,8 +7,8 @@
 use tokio::sync::mpsc::error::TrySendError;
 use tokio::sync::oneshot;
 
-/// Has the driver decide a request. The client waits for `budget` from the request's last byte on. While an upload
-/// beyond the replay buffer arrives, no limit runs.
+/// Submits a request to the driver and returns its final answer. `budget` is the time that the client waits after the
+/// last byte of its request. While an upload that exceeds the replay buffer is arriving, no time limit applies.
 pub(super) async fn submit(
     arrival: Arrival,
     budget: Micros,
@@ -20,34 +20,34 @@
     let arrival = Arrival { request, deadline: accepted_at + budget, ..arrival };
     let (reply, answer) = oneshot::channel();
     let accepted = AcceptedRequest { arrival, accepted_at, forward, reply };
-    let mut notice = DisconnectNotice { driver: &context.driver, request, answered: false };
+    let mut guard = DisconnectGuard { driver: &context.driver, request, answered: false };
     if context.driver.send(DriverEvent::RequestAccepted(Box::new(accepted))).await.is_err() {
         return FinalAnswer::Failed;
     }
     tokio::select! {
         biased;
         answer = answer => {
-            notice.answered = true;
+            guard.answered = true;
             answer.unwrap_or(FinalAnswer::Failed)
         }
-        // The notice tells the driver to end the request's attempts.
+        // Dropping the guard makes the driver end the request's attempts.
         () = context.response_deadline.wait() => FinalAnswer::Failed,
     }
 }
 
-/// Tells the driver that the client disconnected, unless its request was answered before this is dropped.
-struct DisconnectNotice<'a> {
+/// On drop, reports to the driver that the client disconnected, unless its request was answered.
+struct DisconnectGuard<'a> {
     driver: &'a DriverSender,
     request: RequestId,
     answered: bool,
 }
 
-impl Drop for DisconnectNotice<'_> {
+impl Drop for DisconnectGuard<'_> {
     fn drop(&mut self) {
         if self.answered {
             return;
         }
-        // A driver that has ended needs no notice; one whose queue is full gets it later.
+        // If the driver's queue is full, the event is sent later; if the driver has ended, it is dropped.
         let sent = self.driver.try_send(DriverEvent::ClientDisconnected(self.request));
         if let Err(TrySendError::Full(event)) = sent {
             let driver = self.driver.clone();
--- a/crates/gateway/src/server/table.rs
+++ b/crates/gateway/src/server/table.rs
@@ -1,4 +1,4 @@
-//! The table of clients' connections, a bounded number: which of them have to end for others, and when.
+//! The bounded table of client connections: enforces timeouts and evicts connections in favour of new ones.
 
 use super::connection::{ClientConnection, Phase};
 use crate::relay::StreamLimits;
@@ -11,32 +11,33 @@
 
 /// How often the limits on connections are checked.
 pub(super) const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
-/// A request must be complete so long after its connection was accepted, after its first byte on a persistent one,
-/// or after the response before it on one that is being closed. The platform grants clients that send nothing 3 s.
+/// Time limit for receiving a request: from the accept of a new connection, from the first byte of the request on a
+/// persistent one, or from the previous response on one that is being closed. The platform grants clients that send
+/// nothing 3 s.
 pub(super) const RECEIVE_TIMEOUT: Duration = Duration::from_secs(2);
-/// A connection is closed after no request was open on it for so long.
+/// Time without an open request after which a connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
-/// How long a connection must have been silent before it is closed for a new one. Usual clients send at once.
+/// Minimum time that a connection must have been silent to be evicted for a new one. Most clients send at once.
 const MIN_SILENCE: Duration = Duration::from_millis(250);
-/// The time between two looks for a connection to close for a new one.
+/// Interval between two attempts to evict a connection for a new one.
 const SLOT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Names a connection in the table.
+/// Identifies a connection in the table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) struct ConnectionId(u64);
 
-/// The open connections of clients.
+/// The open client connections.
 pub(super) struct ConnectionTable {
     open: RefCell<HashMap<ConnectionId, Rc<ClientConnection>>>,
     last_id: Cell<u64>,
     max_connections: usize,
     streams: Rc<StreamLimits>,
-    /// One was removed.
+    /// Notified when a connection was removed.
     removed: Notify,
 }
 
 impl ConnectionTable {
-    /// An empty table for so many connections.
+    /// Creates an empty table for at most `max_connections` connections.
     pub(super) fn new(max_connections: usize, streams: Rc<StreamLimits>) -> ConnectionTable {
         ConnectionTable {
             open: RefCell::default(),
@@ -47,7 +48,7 @@
         }
     }
 
-    /// Adds a connection that was accepted.
+    /// Adds an accepted connection.
     pub(super) fn insert(&self, connection: Rc<ClientConnection>) -> ConnectionId {
         let id = ConnectionId(self.last_id.get() + 1);
         self.last_id.set(id.0);
@@ -69,20 +70,20 @@
         self.open.borrow().values().cloned().collect()
     }
 
-    /// Closes all connections with the response to what they are doing.
+    /// Closes all connections, each after the response to its current request.
     pub(super) fn close_all(&self) {
         self.all().iter().for_each(|connection| connection.close());
     }
 
-    /// Closes all connections but those on which a request is arriving. These close with its response.
+    /// Closes all connections except those on which a request is arriving. These close after its response.
     pub(super) fn close_all_but_receiving(&self) {
         let mut others = self.all();
         others.retain(|connection| connection.phase() != Phase::Receiving);
         others.iter().for_each(|connection| connection.close());
     }
 
-    /// Ends what takes too long. Guards against clients that keep a connection and send nothing, send half a
-    /// request, or do not read their response.
+    /// Closes connections that exceed a time limit: those of clients that send nothing, send a partial request, or do
+    /// not read their response.
     pub(super) fn sweep(&self) {
         let settings = self.streams.last_settings();
         for connection in self.open.borrow().values() {
@@ -101,10 +102,10 @@
         self.close_idle_over_half();
     }
 
-    /// Closes those idle longest while more than half of the table is taken. Clients may have a limit on connections of
-    /// their own: if their idle ones used it up, they could open no new one. Covers floods, and crowds that send one
-    /// request each, as well. Costs a new connection each where more clients than the table holds come back after a
-    /// pause.
+    /// Closes the connections that were idle longest while more than half of the table is used. Clients may limit their
+    /// own connections: if idle ones used up that limit, they could not open new ones. This also covers floods, and
+    /// many clients that send one request each. The cost: when more clients than the table holds return after a pause,
+    /// each needs a new connection.
     fn close_idle_over_half(&self) {
         let mut idle = self.all();
         idle.retain(|connection| {
@@ -115,19 +116,19 @@
         idle.iter().take(excess).for_each(|connection| connection.close());
     }
 
-    /// Waits until the table has a free slot. Guards against clients that keep connections for good and so shut
-    /// others out: one of them is ended for a new one.
-    pub(super) async fn free_slot(&self) {
+    /// Waits until the table has a free slot, evicting connections if necessary. Otherwise clients that keep their
+    /// connections forever would shut others out.
+    pub(super) async fn wait_for_slot(&self) {
         while self.len() >= self.max_connections {
-            self.end_one_for_another();
-            // It may have been one that has a request after all: look again then.
+            self.evict_one();
+            // The evicted connection may still have to finish a request, so this retries after a while.
             let _ = timeout(SLOT_RETRY_INTERVAL, self.removed.notified()).await;
         }
     }
 
-    /// Ends the connection that has been lingering longest, else the one that has sent nothing for longest, else the
-    /// one idle longest.
-    fn end_one_for_another(&self) {
+    /// Evicts the connection that has been lingering longest, else the one that has sent nothing for longest, else the
+    /// one that has been idle longest.
+    fn evict_one(&self) {
         let candidates = self.all();
         let oldest = |phase, min_time, may_be_closing: bool| {
             candidates
@@ -147,7 +148,7 @@
     }
 
     /// Waits until no connection is open.
-    pub(super) async fn all_removed(&self) {
+    pub(super) async fn wait_until_empty(&self) {
         let mut sweep = interval(SWEEP_INTERVAL);
         while !self.open.borrow().is_empty() {
             tokio::select! {
--- a/crates/gateway/src/server/tests.rs
+++ b/crates/gateway/src/server/tests.rs
@@ -374,7 +374,7 @@
 async fn a_wait_for_the_response_deadline_that_begins_after_it_ends_at_once() {
     let deadline = ResponseDeadline::new(Duration::ZERO);
     assert!(timeout(Duration::ZERO, deadline.wait()).await.is_err(), "not yet");
-    deadline.pass();
+    deadline.expire();
     timeout(TEST_LIMIT, deadline.wait()).await.expect("the wait ends at once");
 }
 
--- a/crates/gateway/src/server/transfer.rs
+++ b/crates/gateway/src/server/transfer.rs
@@ -1,11 +1,11 @@
-//! What must last as long as a streamed response or an upload is under way on a client's connection.
+//! Guards held while a streamed response or an upload is in progress on a client's connection.
 
 use super::connection::ClientConnection;
 use super::open_requests::ClientRequestGuard;
 use crate::relay::{StreamObserver, Upload};
 use std::rc::Rc;
 
-/// Lasts as long as a streamed response: its connection's phase, and its request's id.
+/// Held during a streamed response. Maintains the connection's phase and keeps the request's id reserved.
 pub(super) struct ResponseStream {
     connection: Rc<ClientConnection>,
     _open_request: ClientRequestGuard,
@@ -36,7 +36,7 @@
     }
 }
 
-/// Lasts as long as the request of an upload is open. What has not arrived by its end is not wanted any more.
+/// Held while the request of an upload is open. On drop, the rest of the upload is no longer read.
 pub(super) struct UploadInProgress<'a> {
     connection: &'a ClientConnection,
     pub(super) upload: Rc<Upload>,
--- a/crates/gateway/src/server/transfer_progress.rs
+++ b/crates/gateway/src/server/transfer_progress.rs
@@ -1,10 +1,10 @@
-//! How far a streamed response is, and whether enough of it goes through.
+//! Measures the progress of a streamed response, to detect transfers that are too slow.
 
 use crate::relay::StreamSettings;
 use std::cell::Cell;
 use tokio::time::Instant;
 
-/// How far a streamed response is, in windows of time.
+/// The progress of a streamed response, measured in time windows.
 pub(super) struct TransferProgress {
     bytes: Cell<u64>,
     window: Cell<TransferWindow>,
@@ -24,18 +24,18 @@
         TransferProgress { bytes: Cell::new(0), window: Cell::new(window) }
     }
 
-    /// A transfer begins.
+    /// Records the start of a transfer.
     pub(super) fn begin(&self) {
         let now = Instant::now();
         self.window.set(TransferWindow { transfer_began: now, began: now, bytes_before: self.bytes.get() });
     }
 
-    /// Bytes went through.
+    /// Records transferred bytes.
     pub(super) fn add(&self, bytes: u64) {
         self.bytes.set(self.bytes.get() + bytes);
     }
 
-    /// Whether the transfer takes too long, or too little went through in the window that ends now.
+    /// Returns whether the transfer takes too long, or transferred too few bytes in the window that ends now.
     pub(super) fn is_too_slow(&self, settings: &StreamSettings) -> bool {
         let window = self.window.get();
         let now = Instant::now();
--- a/crates/gateway/src/tapped.rs
+++ b/crates/gateway/src/tapped.rs
@@ -1,4 +1,4 @@
-//! A socket whose bytes are observed, and which can be read ahead of its protocol machine.
+//! A socket whose traffic is observed, and which can be read ahead of its HTTP protocol implementation.
 
 use bytes::{Buf, BytesMut};
 use std::cell::RefCell;
@@ -9,39 +9,39 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// Observes the bytes that a protocol machine reads and writes.
+/// Observes the bytes that an HTTP connection reads and writes.
 pub trait Tap {
-    /// These bytes were read.
+    /// Called with the bytes that were read; empty if none were.
     fn bytes_read(&self, bytes: &[u8]);
-    /// So many bytes were written, or none could be.
+    /// Called with the number of bytes that were written, which may be 0.
     fn bytes_written(&self, count: usize);
 }
 
-/// The most bytes that are read ahead of the protocol machine. Guards memory.
+/// Maximum number of bytes read ahead. Bounds memory.
 pub const MAX_READ_AHEAD_BYTES: usize = 32 * 1024;
-/// The most bytes that one call reads ahead.
+/// Maximum number of bytes read ahead by one read of the socket.
 const READ_SIZE_BYTES: usize = 4096;
 
-/// A socket, with what was read from it ahead of its protocol machine, which gets that first.
+/// A socket, and the bytes read ahead from it, which the HTTP connection reads first.
 pub struct Socket {
     stream: TcpStream,
     read_ahead: BytesMut,
 }
 
 impl Socket {
-    /// A socket from which nothing was read ahead.
+    /// Creates a socket from which nothing was read ahead.
     pub fn new(stream: TcpStream) -> Socket {
         Socket { stream, read_ahead: BytesMut::new() }
     }
 
-    /// The stream itself.
+    /// Returns the underlying stream.
     pub fn stream(&mut self) -> Pin<&mut TcpStream> {
         Pin::new(&mut self.stream)
     }
 
-    /// Reads ahead and is ready once the peer has closed or reset the connection. The protocol machine stops reading
-    /// at bytes that it has no use for yet, so it would not notice. Behind [`MAX_READ_AHEAD_BYTES`] this does not
-    /// either.
+    /// Reads ahead, and is ready once the peer has closed or reset the connection. The HTTP connection would not notice
+    /// this, because it stops reading at bytes that it can't use yet. A close after more than [`MAX_READ_AHEAD_BYTES`]
+    /// unread bytes is not noticed here either.
     pub fn poll_closed(&mut self, cx: &mut Context) -> Poll<()> {
         while self.read_ahead.len() < MAX_READ_AHEAD_BYTES {
             let mut bytes = [0; READ_SIZE_BYTES];
@@ -64,21 +64,21 @@
         buffer.put_slice(&self.read_ahead[..length]);
         self.read_ahead.advance(length);
         if self.read_ahead.is_empty() {
-            // Gives its memory back.
+            // Frees the buffer's memory.
             self.read_ahead = BytesMut::new();
         }
         Poll::Ready(Ok(()))
     }
 }
 
-/// The protocol machine's view of a socket, which it shares with the code that owns the connection.
+/// The I/O object of an HTTP connection. It shares the socket with the code that owns the connection.
 pub struct Tapped<T> {
     socket: Rc<RefCell<Socket>>,
     tap: T,
 }
 
 impl<T: Tap + Unpin> Tapped<T> {
-    /// A view of this socket that reports to `tap`.
+    /// Creates an I/O object for this socket that reports its traffic to `tap`.
     pub fn new(socket: Rc<RefCell<Socket>>, tap: T) -> Tapped<T> {
         Tapped { socket, tap }
     }
@@ -98,9 +98,9 @@
 impl<T: Tap + Unpin> AsyncRead for Tapped<T> {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context, buffer: &mut ReadBuf) -> Poll<io::Result<()>> {
         let filled_before = buffer.filled().len();
-        let done = self.socket.borrow_mut().poll_read(cx, buffer);
+        let result = self.socket.borrow_mut().poll_read(cx, buffer);
         self.tap.bytes_read(&buffer.filled()[filled_before..]);
-        done
+        result
     }
 }
 
