--- a/crates/gateway/src/backoff/tests.rs
+++ b/crates/gateway/src/backoff/tests.rs
@@ -1,51 +1,71 @@
 use super::*;
 
-/// A call that begins so early is answered before a change must have arrived, which is after 6 s.
-const IN_TIME: Duration = Duration::from_secs(5);
+/// Latest start of the next call for its response to arrive within the 6 s in which gateways must receive a change.
+const MAX_CALL_START: Duration = Duration::from_secs(5);
 
 fn callers(count: u64, gateways: u32) -> Vec<Backoff> {
     (0..count).map(|seed| Backoff::new(seed, gateways)).collect()
 }
 
-/// The most of these moments within any 300 ms.
-fn busiest(mut at: Vec<Duration>) -> usize {
-    at.sort();
-    let within = |from: &Duration| at.iter().filter(|t| (*from..*from + 3 * MIN_BOUND).contains(t)).count();
-    at.iter().map(within).max().unwrap_or(0)
+/// Returns the maximum number of calls within any 300 ms.
+fn max_calls_in_300_ms(mut starts: Vec<Duration>) -> usize {
+    starts.sort();
+    let within = |from: &Duration| {
+        starts.iter().filter(|start| (*from..*from + 3 * MIN_BOUND).contains(start)).count()
+    };
+    starts.iter().map(within).max().unwrap_or(0)
 }
 
 #[test]
-fn a_fleet_that_starts_or_fails_together_does_not_call_together() {
+fn gateways_that_start_or_fail_together_spread_their_calls() {
     let mut fleet = callers(60, 60);
-    assert!(busiest(fleet.iter_mut().map(|b| b.initial_delay(MAX_CALL_INTERVAL)).collect()) < 15);
-    assert!(busiest(fleet.iter_mut().map(|b| b.retry_delay(Duration::ZERO)).collect()) < 15);
+    assert!(
+        max_calls_in_300_ms(
+            fleet.iter_mut().map(|backoff| backoff.initial_delay(MAX_CALL_INTERVAL)).collect()
+        ) < 15
+    );
+    assert!(
+        max_calls_in_300_ms(fleet.iter_mut().map(|backoff| backoff.retry_delay(Duration::ZERO)).collect())
+            < 15
+    );
     let mut few = callers(100, 30);
-    few.iter_mut().for_each(|b| assert!(b.retry_delay(Duration::ZERO) <= 30 * SPREAD_PER_GATEWAY));
-    let second: Vec<Duration> = few.iter_mut().map(|b| b.retry_delay(Duration::ZERO)).collect();
-    assert!(second.iter().sum::<Duration>() > 60 * 30 * SPREAD_PER_GATEWAY, "bounds double: {second:?}");
+    few.iter_mut()
+        .for_each(|backoff| assert!(backoff.retry_delay(Duration::ZERO) <= 30 * SPREAD_PER_GATEWAY));
+    let second: Vec<Duration> = few.iter_mut().map(|backoff| backoff.retry_delay(Duration::ZERO)).collect();
+    assert!(
+        second.iter().sum::<Duration>() > 60 * 30 * SPREAD_PER_GATEWAY,
+        "expected doubled bounds, got delays {second:?}"
+    );
 }
 
 #[test]
-fn a_fleet_of_any_size_calls_again_in_time_for_a_change_and_evenly_until_then() {
+fn a_fleet_of_any_size_spreads_its_calls_evenly_within_the_maximum_interval() {
     for fleet in [300, 4_700] {
         let mut callers = callers(u64::from(fleet), fleet);
-        let first: Vec<Duration> = callers.iter_mut().map(|b| b.initial_delay(MAX_CALL_INTERVAL)).collect();
-        assert!(first.iter().all(|at| *at <= IN_TIME));
-        let even = fleet as usize * 3 / 50;
-        assert!(busiest(first.clone()) < 2 * even, "{} of {fleet} within 300 ms", busiest(first));
+        let first: Vec<Duration> =
+            callers.iter_mut().map(|backoff| backoff.initial_delay(MAX_CALL_INTERVAL)).collect();
+        assert!(first.iter().all(|start| *start <= MAX_CALL_START));
+        let even_share = fleet as usize * 3 / 50;
+        assert!(
+            max_calls_in_300_ms(first.clone()) < 2 * even_share,
+            "{} of {fleet} within 300 ms",
+            max_calls_in_300_ms(first)
+        );
         for call in [0, 100, 2_000, 5_000, 60_000].map(Duration::from_millis) {
             for _ in 0..10 {
-                let next = callers.iter_mut().map(|b| call + b.retry_delay(call));
-                let latest = next.max().expect("callers");
-                assert!(latest <= IN_TIME.max(call + MIN_BOUND), "{latest:?} after {call:?}");
+                let next = callers.iter_mut().map(|backoff| call + backoff.retry_delay(call));
+                let latest = next.max().expect("at least one caller");
+                assert!(latest <= MAX_CALL_START.max(call + MIN_BOUND), "{latest:?} after {call:?}");
             }
         }
     }
 }
 
 #[test]
-fn where_calls_are_free_delays_are_short() {
+fn delays_are_short_if_calls_put_no_load_on_the_service() {
     let mut fleet = callers(100, 0);
-    assert!(fleet.iter_mut().all(|b| b.initial_delay(MAX_CALL_INTERVAL) == Duration::ZERO));
-    assert!((0..10).all(|_| fleet.iter_mut().all(|b| b.retry_delay(Duration::ZERO) <= 2 * MIN_BOUND)));
+    assert!(fleet.iter_mut().all(|backoff| backoff.initial_delay(MAX_CALL_INTERVAL) == Duration::ZERO));
+    assert!(
+        (0..10).all(|_| fleet.iter_mut().all(|backoff| backoff.retry_delay(Duration::ZERO) <= 2 * MIN_BOUND))
+    );
 }
--- a/crates/gateway/src/driver/tests.rs
+++ b/crates/gateway/src/driver/tests.rs
@@ -17,29 +17,33 @@
     "plans":[{"name":"team","per_second":0.0,"peak_units":1.0,"price":1.0}],
     "specifics":{"counter":false,"units_top":4},"rules":{"cold":1,"cold_from":0.2,"fall_multiple":2.0}}}"#;
 
-/// A backend that begins long answers and goes on when notified, then reads to the end of its connection.
-async fn backend_with_long_answers(go_on: Rc<tokio::sync::Notify>) -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = listener.local_addr().expect("bound");
+/// Starts a backend that sends the first half of a long response and, once notified, the second half. It then waits
+/// until its connection is closed.
+async fn spawn_backend_with_long_responses(resume: Rc<tokio::sync::Notify>) -> SocketAddr {
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("binding to a free port");
+    let address = listener.local_addr().expect("the listener has an address");
     tokio::task::spawn_local(async move {
         while let Ok((mut stream, _)) = listener.accept().await {
-            let go_on = go_on.clone();
+            let resume = resume.clone();
             tokio::task::spawn_local(async move {
-                let mut asked = [0; 1024];
-                assert!(stream.read(&mut asked).await.is_ok_and(|read| read > 0));
+                let mut request_bytes = [0; 1024];
+                assert!(stream.read(&mut request_bytes).await.is_ok_and(|read| read > 0));
                 let head = b"HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n";
-                stream.write_all(&[&head[..], &[b'x'; 100_000]].concat()).await.expect("it reads");
-                go_on.notified().await;
-                // One that was cancelled is closed by now.
+                stream
+                    .write_all(&[&head[..], &[b'x'; 100_000]].concat())
+                    .await
+                    .expect("the gateway reads the response");
+                resume.notified().await;
+                // The connection of a cancelled attempt is closed by now.
                 let _ = stream.write_all(&[b'x'; 100_000]).await;
-                let _ = stream.read(&mut asked).await;
+                let _ = stream.read(&mut request_bytes).await;
             });
         }
     });
     address
 }
 
-/// Has the driver accept a request, and returns where its final answer comes.
+/// Has the driver accept a request, and returns the receiver of its final answer.
 fn accept(driver: &mut Driver, request: RequestId) -> oneshot::Receiver<FinalAnswer> {
     let (reply, answer) = oneshot::channel();
     let arrival = Arrival { request, ..Arrival::default() };
@@ -48,9 +52,9 @@
     answer
 }
 
-/// Makes the next attempt of a request at this backend, and returns its end.
+/// Makes the next attempt of a request at the backend with this address, and returns its end.
 async fn attempt_at(driver: &mut Driver, address: SocketAddr, request: RequestId) -> AttemptEnd {
-    let started = driver.requests.start_attempt(request).expect("it is in the table");
+    let started = driver.requests.start_attempt(request).expect("the request is in the table");
     let StartedAttempt { index, forward, cancelled, request_open } = started;
     let backend = driver.pool.add_backend(address, index as u64, None);
     let give_up_at = Instant::now() + Duration::from_secs(10);
@@ -58,7 +62,7 @@
     attempt(&driver.pool, &driver.streams, &backend, &forward, params).await
 }
 
-/// A request without a body.
+/// Returns a request without a body.
 fn forward() -> Forward {
     let (method, uri) = (Method::GET, "/".parse().expect("a path"));
     let body = Payload::Complete(bytes::Bytes::new());
@@ -66,10 +70,11 @@
 }
 
 fn driver() -> Driver {
-    let config = Config::parse(CONFIG).expect("a configuration that makes sense");
-    Driver::new(Params::new(config, Clock::start(0))).expect("a driver")
+    let config = Config::parse(CONFIG).expect("a valid configuration");
+    Driver::new(Params::new(config, Clock::start(0))).expect("valid driver settings")
 }
 
+/// Reports the transfer as too slow if set.
 struct Slow(bool);
 impl StreamObserver for Slow {
     fn bytes_sent(&self, _bytes: u64) {}
@@ -79,9 +84,9 @@
 }
 
 #[tokio::test(flavor = "current_thread")]
-async fn a_slow_transfer_is_its_backends_fault_only_if_the_backend_was_waited_for() {
-    let testing = async {
-        let address = backend_with_long_answers(Rc::default()).await;
+async fn a_slow_transfer_is_a_timeout_only_if_the_backend_was_awaited() {
+    let scenario = async {
+        let address = spawn_backend_with_long_responses(Rc::default()).await;
         let mut driver = driver();
         let _answer = accept(&mut driver, RequestId(1));
         for (slow, read_all, expected) in [
@@ -90,31 +95,33 @@
             (false, true, Outcome::Cancelled),
         ] {
             let mut end = attempt_at(&mut driver, address, RequestId(1)).await;
-            let Some(ServedBody::Streamed(relay)) = end.body.take() else { panic!("an answer that flows") };
+            let Some(ServedBody::Streamed(relay)) = end.body.take() else {
+                panic!("expected a streamed response")
+            };
             let mut body = ClientBody::Streamed(relay, Slow(slow));
             let mut read = 0;
             while read_all && read < 100_000 {
-                let frame = body.frame().await.expect("it goes on").expect("it is sound");
-                read += frame.into_data().expect("data").len();
+                let frame = body.frame().await.expect("the body continues").expect("a valid frame");
+                read += frame.into_data().expect("a data frame").len();
             }
             if read_all {
-                // Nothing more comes.
+                // The backend sends nothing more.
                 let waiting = tokio::time::timeout(Duration::from_millis(1), body.frame()).await;
                 assert!(waiting.is_err());
             }
             drop(body);
-            let outcome = end.stream_end.expect("it flows").await;
-            assert_eq!(outcome, Ok(expected), "slow {slow}, waited for {read_all}");
+            let outcome = end.stream_end.expect("the response is streamed").await;
+            assert_eq!(outcome, Ok(expected), "slow: {slow}, backend awaited: {read_all}");
         }
     };
-    LocalSet::new().run_until(testing).await;
+    LocalSet::new().run_until(scenario).await;
 }
 
 #[tokio::test(flavor = "current_thread")]
-async fn of_two_streaming_answers_one_goes_to_the_client_and_the_other_ends() {
-    let testing = async {
-        let go_on = Rc::<tokio::sync::Notify>::default();
-        let address = backend_with_long_answers(go_on.clone()).await;
+async fn of_two_streamed_responses_the_first_is_served_and_the_other_is_closed() {
+    let scenario = async {
+        let resume = Rc::<tokio::sync::Notify>::default();
+        let address = spawn_backend_with_long_responses(resume.clone()).await;
         let mut driver = driver();
         let id = RequestId(1);
         let answer = accept(&mut driver, id);
@@ -141,34 +148,38 @@
             ended.collect::<Vec<_>>()
         };
         assert!(driver.batch.iter().any(|event| matches!(event, Event::ResponseStarted { attempt: 0, .. })));
-        assert_eq!(outcomes(&driver), [(1, Outcome::Success, true)], "the first is still on its way");
-        assert_eq!(driver.pool.gauges().in_use, 1, "the second's connection is closed");
+        assert_eq!(
+            outcomes(&driver),
+            [(1, Outcome::Success, true)],
+            "the first response is still being streamed"
+        );
+        assert_eq!(driver.pool.gauges().in_use, 1, "the connection of the second attempt is closed");
         let Ok(FinalAnswer::Served(ServedBody::Streamed(relay))) = answer.await else {
-            panic!("an answer that flows")
+            panic!("expected a streamed response")
         };
-        go_on.notify_waiters();
-        let all = relay.collect().await.expect("it ends well").to_bytes();
-        assert_eq!(all.len(), 200_000);
+        resume.notify_waiters();
+        let body = relay.collect().await.expect("the response is complete").to_bytes();
+        assert_eq!(body.len(), 200_000);
         for (number, stream_end) in stream_ends.into_iter().enumerate() {
             driver.receive(DriverEvent::StreamEnded {
                 request: id,
                 attempt: number,
-                outcome: stream_end.await.expect("it ends"),
+                outcome: stream_end.await.expect("the stream reports its end"),
             });
         }
         assert_eq!(
             outcomes(&driver),
             [(1, Outcome::Success, true), (0, Outcome::Success, true)],
-            "each once"
+            "each attempt is reported once"
         );
         driver.requests.remove_if_finished(id);
         assert_eq!(driver.requests.len(), 0);
     };
-    LocalSet::new().run_until(testing).await;
+    LocalSet::new().run_until(scenario).await;
 }
 
 #[tokio::test(flavor = "current_thread")]
-async fn whatever_closes_a_request_its_attempts_see_that_it_is_closed() {
+async fn attempts_are_notified_however_their_request_is_closed() {
     let ends: [fn(&mut Driver); 4] = [
         |driver| driver.receive(DriverEvent::ClientDisconnected(RequestId(1))),
         |driver| driver.answer(RequestId(1), FinalAnswer::Rejected(None)),
@@ -187,12 +198,12 @@
             });
         },
     ];
-    for (way, end) in ends.into_iter().enumerate() {
+    for (index, end) in ends.into_iter().enumerate() {
         let mut driver = driver();
         let _answer = accept(&mut driver, RequestId(1));
-        let attempt = driver.requests.start_attempt(RequestId(1)).expect("it is in the table");
+        let attempt = driver.requests.start_attempt(RequestId(1)).expect("the request is in the table");
         assert!(*attempt.request_open.borrow());
         end(&mut driver);
-        assert!(!*attempt.request_open.borrow(), "way {way}");
+        assert!(!*attempt.request_open.borrow(), "the request is closed by end {index}");
     }
 }
--- a/crates/gateway/src/driver/timers/tests.rs
+++ b/crates/gateway/src/driver/timers/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn timers_fire_by_time_and_then_by_id_and_not_before() {
+fn timers_fire_in_order_of_time_and_id_and_not_early() {
     let mut timers = Timers::default();
     assert_eq!((timers.next_at(), timers.pop_due(Micros(9))), (None, None));
     for (fires_at, timer) in [(5, 1), (3, 9), (3, 2), (8, 0)] {
--- a/crates/gateway/src/framing/tests.rs
+++ b/crates/gateway/src/framing/tests.rs
@@ -1,16 +1,16 @@
 use super::*;
 use BodyFraming::{Chunked, Conflicting, ContentLength};
 
-/// The framings read from these bytes, whatever the pieces in which they come.
+/// Returns the framings read from `text`, after checking that they do not depend on how it is split into chunks.
 fn framings(text: &str) -> Vec<BodyFraming> {
-    let by = |size: usize| {
+    let framings_in_chunks_of = |size: usize| {
         let mut reader = FramingReader::default();
-        text.as_bytes().chunks(size).for_each(|piece| reader.read(piece));
+        text.as_bytes().chunks(size).for_each(|chunk| reader.read(chunk));
         std::iter::from_fn(|| reader.next()).collect::<Vec<_>>()
     };
-    let whole = by(usize::MAX);
-    (1..40).for_each(|size| assert_eq!(by(size), whole, "in pieces of {size}"));
-    whole
+    let expected = framings_in_chunks_of(usize::MAX);
+    (1..40).for_each(|size| assert_eq!(framings_in_chunks_of(size), expected, "in chunks of {size} bytes"));
+    expected
 }
 
 #[test]
@@ -24,11 +24,11 @@
         [ContentLength, ContentLength, ContentLength, Chunked]
     );
     assert_eq!(framings(&[counted, both].concat()), [ContentLength, Conflicting]);
-    // A body that looks like a head is none.
+    // A body that looks like a request head is not read as one.
     let hidden = chunked.replace("POST", "PUT");
     let body = format!("POST /a HTTP/1.1\r\nContent-Length: {}\r\n\r\n{hidden}{plain}", hidden.len());
     assert_eq!(framings(&body), [ContentLength, ContentLength]);
-    // What comes behind a chunked body is not followed, so never believed.
+    // Requests after a chunked body are not read, so their framing is unknown.
     assert_eq!(framings(&[chunked, "0\r\n\r\n", chunked].concat()), [Chunked]);
     let long =
         format!("POST /a HTTP/1.1\r\nX: {}\r\nContent-Length: 0\r\n\r\n", "x".repeat(4 * MAX_LINE_BYTES));
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn framings_that_nobody_asks_for_are_bounded() {
+fn the_number_of_pending_framings_is_bounded() {
     let mut reader = FramingReader::default();
     (0..2 * MAX_PENDING).for_each(|_| reader.read(b"GET / HTTP/1.1\r\n\r\n"));
     assert_eq!(std::iter::from_fn(|| reader.next()).count(), MAX_PENDING);
--- a/crates/gateway/src/http/connection.rs
+++ b/crates/gateway/src/http/connection.rs
@@ -49,7 +49,7 @@
     Partial(Response<Incoming>, VecDeque<Bytes>),
 }
 
-/// hyper's side of the connection, whose traffic is observed.
+/// The hyper future that drives one connection, whose traffic is observed.
 type Protocol = http1::Connection<TokioIo<Tapped<Rc<Traffic>>>, RequestBody>;
 
 /// An HTTP/1.1 connection. Dropping it closes the socket at once, even during a call.
--- a/crates/gateway/src/http/tests.rs
+++ b/crates/gateway/src/http/tests.rs
@@ -6,27 +6,29 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpStream, UnixStream};
 
-/// A stream that rejects TCP's options and carries bytes as any other, and its far end: a Unix socket.
+/// Returns a stream on which TCP options can't be set, because it is a Unix socket, and its peer.
 pub(crate) fn stream_without_options() -> (TcpStream, UnixStream) {
-    let (near, far) = std::os::unix::net::UnixStream::pair().expect("a pair of sockets");
+    let (near, far) = std::os::unix::net::UnixStream::pair().expect("creating a socket pair");
     let near = std::net::TcpStream::from(OwnedFd::from(near));
-    near.set_nonblocking(true).expect("a mode that every socket has");
-    far.set_nonblocking(true).expect("a mode that every socket has");
-    let near = TcpStream::from_std(near).expect("a runtime");
-    assert!(near.set_nodelay(true).is_err(), "it rejects the option");
-    (near, UnixStream::from_std(far).expect("a runtime"))
+    near.set_nonblocking(true).expect("setting non-blocking mode");
+    far.set_nonblocking(true).expect("setting non-blocking mode");
+    let near = TcpStream::from_std(near).expect("registering with the runtime");
+    assert!(near.set_nodelay(true).is_err(), "the socket rejects TCP_NODELAY");
+    (near, UnixStream::from_std(far).expect("registering with the runtime"))
 }
 
 #[tokio::test(flavor = "current_thread")]
 async fn a_call_over_a_socket_that_rejects_tcp_options_is_answered() {
     let (near, mut far) = stream_without_options();
-    let mut connection = Connection::from_stream(near).await.expect("it carries bytes");
-    let answering = async move {
-        let mut asked = [0; 4];
-        far.read_exact(&mut asked).await.expect("it is asked");
-        far.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok").await.expect("it is open");
+    let mut connection = Connection::from_stream(near).await.expect("the connection opens");
+    let serving = async move {
+        let mut request_bytes = [0; 4];
+        far.read_exact(&mut request_bytes).await.expect("a request");
+        far.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
+            .await
+            .expect("the connection is open");
         far
     };
-    let (answer, _far) = tokio::join!(connection.call(Request::new(Full::new(Bytes::new()))), answering);
-    assert_eq!(answer.expect("it is answered").body().as_ref(), b"ok");
+    let (response, _far) = tokio::join!(connection.call(Request::new(Full::new(Bytes::new()))), serving);
+    assert_eq!(response.expect("a response").body().as_ref(), b"ok");
 }
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -103,7 +103,7 @@
     fleet: Option<FleetSettings>,
     admin: Option<AdminSection>,
     names: Rc<Names>,
-    /// The number of gateways whose calls load discovery; 0 if its load does not depend on them.
+    /// The number of gateways that call discovery; 0 if the calls put no load on it.
     gateways_calling_discovery: u32,
     /// The revision of the saved endpoint list, from which to watch for changes.
     saved_revision: Option<u64>,
--- a/crates/gateway/src/server/http_connection.rs
+++ b/crates/gateway/src/server/http_connection.rs
@@ -35,7 +35,7 @@
     Aborted,
 }
 
-/// hyper's side of a client's connection.
+/// The hyper future that drives a client's connection.
 type Protocol<S> = http1::Connection<TokioIo<Tapped<ConnectionTap>>, S>;
 
 /// Serves one connection until it is closed.
@@ -51,7 +51,7 @@
     });
     let socket = Rc::new(RefCell::new(Socket::new(stream)));
     let io = TokioIo::new(Tapped::new(socket.clone(), ConnectionTap(connection.clone())));
-    // hyper's side lives until the socket is closed, because it may hold the end of a streamed response.
+    // This future lives until the socket is closed, because it may hold the end of a streamed response.
     let mut protocol = pin!(http1::Builder::new().max_buf_size(MAX_HEAD_BYTES).serve_connection(io, service));
     let end = exchange(protocol.as_mut(), &socket, connection).await;
     if matches!(end, ExchangeEnd::Complete) && connection.has_response_bytes() {
--- a/crates/gateway/src/server/table.rs
+++ b/crates/gateway/src/server/table.rs
@@ -17,7 +17,7 @@
 pub(super) const RECEIVE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Time without an open request after which a connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
-/// Minimum time that a connection must have been silent to be evicted for a new one. Most clients send at once.
+/// Minimum time that a connection must have been silent to be evicted for a new one. Typical clients send immediately.
 const MIN_SILENCE: Duration = Duration::from_millis(250);
 /// Interval between two attempts to evict a connection for a new one.
 const SLOT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
