--- a/crates/fleet/src/replication/document.rs
+++ b/crates/fleet/src/replication/document.rs
@@ -9,9 +9,9 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// The schema version of the entries that this build writes.
-pub const SCHEMA: u32 = 1;
+pub const SCHEMA_VERSION: u32 = 1;
 /// The sections that this build knows.
-pub const SECTIONS: [&str; 5] = [VOTERS_SECTION, LEASES_SECTION, "failover", "versions", "work"];
+pub const KNOWN_SECTIONS: [&str; 5] = [VOTERS_SECTION, LEASES_SECTION, "failover", "versions", "work"];
 /// Section of the voters: name to identity and address.
 pub const VOTERS_SECTION: &str = "voters";
 /// Section of the leases: role to [`Grant`].
@@ -232,7 +232,7 @@
 
 impl Document {
     /// A new document whose first voters are these.
-    pub fn founded(id: u64, voters: &BTreeMap<String, String>) -> Document {
+    pub fn bootstrap(id: u64, voters: &BTreeMap<String, String>) -> Document {
         let item = |value: &String| Item { value: value.clone(), index: 0, position: LogPosition::default() };
         let voters = voters.iter().map(|(name, value)| (name.clone(), item(value))).collect();
         let sections = BTreeMap::from([(VOTERS_SECTION.to_string(), voters)]);
--- a/crates/fleet/src/replication/lease.rs
+++ b/crates/fleet/src/replication/lease.rs
@@ -9,7 +9,7 @@
 //! no clock runs wrong by 4 in 100. Where all of that fails, late actions of the old holder are rejected by its token.
 
 use super::document::{
-    CurrentGrant, Document, FencingToken, Grant, LeaseProof, Proposal, LEASES_SECTION, SCHEMA,
+    CurrentGrant, Document, FencingToken, Grant, LeaseProof, Proposal, LEASES_SECTION, SCHEMA_VERSION,
 };
 use std::collections::{BTreeMap, BTreeSet};
 use xxhash_rust::xxh3::xxh3_64;
@@ -184,7 +184,7 @@
             None => REASON_VACANT.to_string(),
         };
         Some(Proposal {
-            schema: SCHEMA,
+            schema: SCHEMA_VERSION,
             proposer: LEADER_PROPOSER.to_string(),
             reason,
             expected_item_index: Some(document.item(LEASES_SECTION, role).map_or(0, |item| item.index)),
@@ -336,7 +336,7 @@
             lease.requested_at = now;
             Proposal {
                 id: next_id(),
-                schema: SCHEMA,
+                schema: SCHEMA_VERSION,
                 proposer: me.name.clone(),
                 reason: REASON_RELEASED.to_string(),
                 lease: Some(LeaseProof { role: role.to_string(), token: lease.token }),
--- a/crates/fleet/src/replication/log.rs
+++ b/crates/fleet/src/replication/log.rs
@@ -52,7 +52,7 @@
 
 impl DurableState {
     /// What each of the first voters starts a new document with.
-    pub fn founded(document: &Document, mut voters: Vec<u64>) -> Result<DurableState, postcard::Error> {
+    pub fn bootstrap(document: &Document, mut voters: Vec<u64>) -> Result<DurableState, postcard::Error> {
         voters.sort_unstable();
         let base = LogPosition { term: 1, index: 1 };
         Ok(DurableState {
--- a/crates/fleet/src/replication/sim.rs
+++ b/crates/fleet/src/replication/sim.rs
@@ -1,7 +1,7 @@
 //! A virtual network of voters with stores of their own, for tests and measurements: the same seed gives the same
 //! history. Times are in microseconds.
 
-use super::document::{Document, Entry, Proposal, Verdict, SCHEMA, VOTERS_SECTION};
+use super::document::{Document, Entry, Proposal, Verdict, SCHEMA_VERSION, VOTERS_SECTION};
 use super::log::{DurableState, LogWrite};
 use super::voter::{Output, ProposeError, Voter, VoterChange};
 use super::wire::RaftMessage;
@@ -132,8 +132,8 @@
     /// A network of first voters and of spare ones that may be added, all running.
     pub fn new(first_voters: usize, spare_voters: usize, seed: u64) -> Network {
         let items = (0..first_voters).map(|place| (format!("g{place}"), (place + 1).to_string())).collect();
-        let document = Document::founded(DOCUMENT, &items);
-        let founded = DurableState::founded(&document, (1..=first_voters as u64).collect());
+        let document = Document::bootstrap(DOCUMENT, &items);
+        let founded = DurableState::bootstrap(&document, (1..=first_voters as u64).collect());
         let founded = founded.unwrap_or_else(|_| DurableState::empty());
         let all = first_voters + spare_voters;
         let disk = |place: usize| if place < first_voters { founded.clone() } else { DurableState::empty() };
@@ -360,7 +360,7 @@
 fn sim_proposal(id: u64) -> Proposal {
     Proposal {
         id,
-        schema: SCHEMA,
+        schema: SCHEMA_VERSION,
         proposer: "sim".to_string(),
         reason: "a test".to_string(),
         ..Proposal::default()
--- a/crates/fleet/src/replication/voter_trust.rs
+++ b/crates/fleet/src/replication/voter_trust.rs
@@ -4,15 +4,15 @@
 #[derive(Clone, Copy, Debug)]
 pub struct VoterTrust {
     /// The document is trusted in full for this long after the last heartbeat.
-    pub hold: u64,
+    pub full_trust_us: u64,
     /// After that, trust declines linearly to nothing over this long.
-    pub ramp: u64,
+    pub ramp_us: u64,
 }
 
 impl VoterTrust {
     /// The trust, from 1 down to 0, when the last heartbeat is this old.
     pub fn share(&self, heartbeat_age: u64) -> f64 {
-        let overdue = heartbeat_age.saturating_sub(self.hold) as f64;
-        (1.0 - overdue / self.ramp.max(1) as f64).clamp(0.0, 1.0)
+        let overdue = heartbeat_age.saturating_sub(self.full_trust_us) as f64;
+        (1.0 - overdue / self.ramp_us.max(1) as f64).clamp(0.0, 1.0)
     }
 }
--- a/crates/fleet/tests/lease_model.rs
+++ b/crates/fleet/tests/lease_model.rs
@@ -68,7 +68,7 @@
     type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
-        let document = Document::founded(1, &BTreeMap::new());
+        let document = Document::bootstrap(1, &BTreeMap::new());
         vec![State {
             step: 0,
             document,
--- a/crates/fleet/tests/replication.rs
+++ b/crates/fleet/tests/replication.rs
@@ -2,7 +2,7 @@
 
 use lanespan_fleet::replication::document::{
     CurrentGrant, Document, Grant, LeaseProof, LogPosition, Proposal, Rejection, Verdict, LEASES_SECTION,
-    SCHEMA,
+    SCHEMA_VERSION,
 };
 use lanespan_fleet::replication::lease::{Candidate, FencingGuard, HeldLeases, LeaseTable, ROLES};
 use lanespan_fleet::replication::log::DurableState;
@@ -295,7 +295,7 @@
 fn change(id: u64, section: &str, value: &str) -> Proposal {
     Proposal {
         id,
-        schema: SCHEMA,
+        schema: SCHEMA_VERSION,
         proposer: "g0".into(),
         reason: "a test".into(),
         section: section.into(),
@@ -319,7 +319,7 @@
 
 #[test]
 fn proposals_are_checked_applied_once_bounded_and_kept_in_unknown_sections() {
-    let mut replica = Replica::from_document(Document::founded(1, &BTreeMap::new()));
+    let mut replica = Replica::from_document(Document::bootstrap(1, &BTreeMap::new()));
     let mut apply = |index, proposal: &Proposal| replica.apply(at(index), &text(proposal)).0;
     assert_eq!(apply(2, &change(1, "failover", "a")), Verdict::Accepted(1));
     assert_eq!(apply(3, &change(1, "failover", "a")), Verdict::Duplicate(1), "sent twice, applied once");
@@ -350,7 +350,7 @@
 
 #[test]
 fn followers_catch_up_by_entries_or_snapshot_and_detect_divergence() {
-    let mut whole = Replica::from_document(Document::founded(1, &BTreeMap::new()));
+    let mut whole = Replica::from_document(Document::bootstrap(1, &BTreeMap::new()));
     let mut follower = whole.clone();
     for id in 1..=12_000 {
         whole.apply(at(id + 1), &text(&change(id, "work", &id.to_string())));
@@ -389,7 +389,7 @@
 
 #[test]
 fn trust_in_the_last_document_declines_linearly() {
-    let trust = VoterTrust { hold: 30, ramp: 20 };
+    let trust = VoterTrust { full_trust_us: 30, ramp_us: 20 };
     let shares: Vec<f64> = [0, 30, 35, 40, 50, 1_000].iter().map(|since| trust.share(*since)).collect();
     assert_eq!(shares, [1.0, 1.0, 0.75, 0.5, 0.0, 0.0]);
 }
@@ -404,7 +404,7 @@
         let members: Vec<Candidate> = (0..3).map(|i| Candidate::new(format!("g{i}"), 1)).collect();
         let speed: Vec<f64> = (0..4).map(|_| 0.99 + 0.02 * rng.f64()).collect();
         let clock = |who: usize, now: u64| (now as f64 * speed[who]) as u64 + 1_000_000;
-        let mut document = Document::founded(1, &BTreeMap::new());
+        let mut document = Document::bootstrap(1, &BTreeMap::new());
         let (mut leases, mut held) =
             (LeaseTable::new(1, clock(3, 0)), [(); 3].map(|()| HeldLeases::default()));
         let (mut receiver, mut place, mut last) = (FencingGuard::default(), 1, BTreeMap::new());
@@ -481,7 +481,7 @@
     let members: Vec<Candidate> = (0..3).map(|i| Candidate::new(format!("g{i}"), 1)).collect();
     for (new_leader, least) in [(None, 1.05), (Some(SECOND / 2), 1.55)] {
         let (mut document, mut leases, mut place) =
-            (Document::founded(1, &BTreeMap::new()), LeaseTable::new(1, 0), 1);
+            (Document::bootstrap(1, &BTreeMap::new()), LeaseTable::new(1, 0), 1);
         let mut granted = Vec::new();
         for now in (0..3 * SECOND).step_by(10_000) {
             // Also where one loses the lead and gets it back before it looks.
@@ -501,7 +501,7 @@
 
 #[test]
 fn a_lease_is_released_by_its_holder_only() {
-    let mut document = Document::founded(1, &BTreeMap::new());
+    let mut document = Document::bootstrap(1, &BTreeMap::new());
     let members: Vec<Candidate> = (0..5).map(|i| Candidate::new(format!("g{i}"), 1)).collect();
     let mut leases = LeaseTable::new(1, 0);
     for proposal in leases.grants_due(&document, &members, SECOND, 0, || 1) {
@@ -533,7 +533,7 @@
 
 /// A role that this candidate was granted, as the leader's leases and the document have it.
 fn granted_to(me: &Candidate, index: u64) -> (Document, LeaseTable, LogPosition) {
-    let (mut document, mut leases) = (Document::founded(1, &BTreeMap::new()), LeaseTable::new(1, 0));
+    let (mut document, mut leases) = (Document::bootstrap(1, &BTreeMap::new()), LeaseTable::new(1, 0));
     let due = leases.grants_due(&document, std::slice::from_ref(me), SECOND, 0, || 1);
     let grant = due.into_iter().find(|proposal| proposal.key == ROLES[0]).expect("nobody holds it");
     assert!(matches!(document.apply(at(index), &text(&grant)).0, Verdict::Accepted(_)));
--- a/crates/fleet/tests/replication_fixtures.rs
+++ b/crates/fleet/tests/replication_fixtures.rs
@@ -2,7 +2,7 @@
 //! is encoded and decoded as it was there, and a seeded run of voters gives the same history.
 
 use lanespan_fleet::replication::document::{
-    Document, Entry, LeaseProof, LogPosition, Proposal, Rejection, Verdict, SCHEMA,
+    Document, Entry, LeaseProof, LogPosition, Proposal, Rejection, Verdict, SCHEMA_VERSION,
 };
 use lanespan_fleet::replication::log::{DurableState, HardState, LogWrite};
 use lanespan_fleet::replication::replica::CatchUp;
@@ -44,7 +44,7 @@
 fn proposal(id: u64) -> Proposal {
     Proposal {
         id,
-        schema: SCHEMA,
+        schema: SCHEMA_VERSION,
         proposer: "g0".into(),
         reason: "a fixture".into(),
         evidence: "0123abcd".into(),
@@ -65,7 +65,7 @@
 /// A document with an item in two sections, one of them from an entry.
 fn document() -> Document {
     let voters = BTreeMap::from([("g0".to_string(), r#"{"id":1}"#.to_string())]);
-    let mut document = Document::founded(DOCUMENT, &voters);
+    let mut document = Document::bootstrap(DOCUMENT, &voters);
     let change = Proposal { expected_index: None, expected_item_index: None, lease: None, ..proposal(41) };
     let text = serde_json::to_string(&change).expect("a form");
     assert_eq!(document.apply(LogPosition { term: 2, index: 8 }, &text).0, Verdict::Accepted(1));
@@ -194,7 +194,7 @@
     fn new() -> Voters {
         let named = (1..=3).map(|id| (format!("g{id}"), id.to_string())).collect();
         let first =
-            DurableState::founded(&Document::founded(DOCUMENT, &named), vec![1, 2, 3]).expect("a form");
+            DurableState::bootstrap(&Document::bootstrap(DOCUMENT, &named), vec![1, 2, 3]).expect("a form");
         let disks = [first.clone(), first.clone(), first, DurableState::empty()];
         let voters = (1..).zip(disks);
         let voters =
--- a/crates/gateway/benches/plan.rs
+++ b/crates/gateway/benches/plan.rs
@@ -1,7 +1,7 @@
 //! How long a voter takes to be back with a log of so many entries: `cargo bench --bench plan -p lanespan-gateway`.
 //! A log is cut as it grows, so that from some point on it is a state and the latest entries.
 
-use lanespan_fleet::replication::document::{Document, Proposal, SCHEMA};
+use lanespan_fleet::replication::document::{Document, Proposal, SCHEMA_VERSION};
 use lanespan_fleet::replication::log::DurableState;
 use lanespan_fleet::replication::voter::{Output, Voter};
 use lanespan_gateway::replication::store::{Store, WriteResult};
@@ -31,8 +31,8 @@
 fn fill(directory: &Path, entries: u64) {
     let (mut store, _) = Store::open(directory, 1).expect("a new one");
     let mut results = store.take_results().expect("once");
-    let durable =
-        DurableState::founded(&Document::founded(1, &BTreeMap::new()), vec![1]).expect("it can be encoded");
+    let durable = DurableState::bootstrap(&Document::bootstrap(1, &BTreeMap::new()), vec![1])
+        .expect("it can be encoded");
     store.begin(1, &durable).expect("taken");
     assert_eq!(results.blocking_recv().expect("a result"), Ok(0));
     let mut voter = Voter::new(1, 1, &durable, 1).expect("a voter");
@@ -43,7 +43,7 @@
     for id in 1..=entries {
         let proposal = Proposal {
             id,
-            schema: SCHEMA,
+            schema: SCHEMA_VERSION,
             proposer: "bench".into(),
             reason: "a bench".into(),
             section: "work".into(),
--- a/crates/gateway/src/replication/bootstrap.rs
+++ b/crates/gateway/src/replication/bootstrap.rs
@@ -125,7 +125,7 @@
             ids.push(handshake.id);
         }
         let document = xxh3_64(format!("{} {items:?}", self.cluster).as_bytes()).max(1);
-        let durable = DurableState::founded(&Document::founded(document, &items), ids).ok()?;
+        let durable = DurableState::bootstrap(&Document::bootstrap(document, &items), ids).ok()?;
         Some(VoterStart { document, durable })
     }
 
--- a/crates/gateway/src/replication/catch_up.rs
+++ b/crates/gateway/src/replication/catch_up.rs
@@ -90,9 +90,9 @@
 
     /// The share of fleet decisions that this gateway acts on: 1, and less the longer no leader's heartbeat arrived.
     pub fn trust(&self) -> f64 {
-        let hold = self.settings.trust.as_micros() as u64;
-        let ramp = self.settings.ramp.as_micros() as u64;
-        VoterTrust { hold, ramp }.share(self.members.leader_heartbeat_age(self.now()))
+        let full_trust_us = self.settings.trust.as_micros() as u64;
+        let ramp_us = self.settings.ramp.as_micros() as u64;
+        VoterTrust { full_trust_us, ramp_us }.share(self.members.leader_heartbeat_age(self.now()))
     }
 
     /// The name and address of a voter, by the document.
--- a/crates/gateway/src/replication/proposals.rs
+++ b/crates/gateway/src/replication/proposals.rs
@@ -9,7 +9,7 @@
 use bytes::Bytes;
 use hyper::Method;
 use lanespan_fleet::replication::document::{
-    Entry, Proposal, Verdict, LEASES_SECTION, SCHEMA, SECTIONS, VOTERS_SECTION,
+    Entry, Proposal, Verdict, KNOWN_SECTIONS, LEASES_SECTION, SCHEMA_VERSION, VOTERS_SECTION,
 };
 use lanespan_fleet::replication::replica::CatchUp;
 use lanespan_fleet::replication::voter::{ProposeError, Voter, VoterChange};
@@ -123,7 +123,7 @@
         let Proposal { section, key, value, proposer, reason, schema, .. } = &proposal;
         let (index, token, value) = (entry.index, entry.position, value.as_deref().unwrap_or("-"));
         info!(index, %token, section, key, value, proposer, reason, "plan: changed");
-        if !SECTIONS.contains(&section.as_str()) || *schema > SCHEMA {
+        if !KNOWN_SECTIONS.contains(&section.as_str()) || *schema > SCHEMA_VERSION {
             warn!(index, section, schema, "plan: an entry that this build does not know; kept and passed on");
         }
     }
@@ -199,7 +199,7 @@
         };
         let proposal = Proposal {
             id: self.draw_id(),
-            schema: SCHEMA,
+            schema: SCHEMA_VERSION,
             proposer: self.members.me().name,
             reason: request.reason,
             section: VOTERS_SECTION.to_string(),
--- a/crates/gateway/src/replication/store/tests.rs
+++ b/crates/gateway/src/replication/store/tests.rs
@@ -30,7 +30,7 @@
     let (mut store, nothing) = Store::open(&path, 42).expect("a new one");
     assert_eq!((store.owner().id, nothing), (42, None));
     let mut results = store.take_results().expect("once");
-    let mut model = DurableState::founded(&Document::founded(9, &Default::default()), vec![42])
+    let mut model = DurableState::bootstrap(&Document::bootstrap(9, &Default::default()), vec![42])
         .expect("it can be encoded");
     store.begin(9, &model).expect("taken");
     assert_eq!(wait(&mut results), 0);
@@ -75,7 +75,7 @@
     let path = directory();
     let (mut store, _) = Store::open(&path, 42).expect("a new one");
     let mut results = store.take_results().expect("once");
-    let model = DurableState::founded(&Document::founded(9, &Default::default()), vec![42])
+    let model = DurableState::bootstrap(&Document::bootstrap(9, &Default::default()), vec![42])
         .expect("it can be encoded");
     store.begin(9, &model).expect("taken");
     wait(&mut results);
--- a/crates/lanespan/src/replication.rs
+++ b/crates/lanespan/src/replication.rs
@@ -3,7 +3,7 @@
 
 use crate::cli::{PlanCommand, ProposeArgs, VotersCommand};
 use crate::{admin, print, usage_error};
-use lanespan_fleet::replication::document::{Proposal, Verdict, SCHEMA};
+use lanespan_fleet::replication::document::{Proposal, Verdict, SCHEMA_VERSION};
 use lanespan_gateway::replication::{Reply, VoterAddress, VoterChangeRequest};
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -77,7 +77,7 @@
 fn propose(args: &ProposeArgs) -> ExitCode {
     let proposal = Proposal {
         id: args.id.unwrap_or_else(|| fastrand::u64(1..)),
-        schema: SCHEMA,
+        schema: SCHEMA_VERSION,
         proposer: args.proposer.clone(),
         reason: args.reason.clone(),
         evidence: args.evidence.clone(),
