--- a/crates/policy/src/balancer/backend.rs
+++ b/crates/policy/src/balancer/backend.rs
@@ -39,7 +39,7 @@
 
     /// Neither left out nor in its trial with an attempt in flight.
     pub(crate) fn is_available(&self, now: Micros) -> bool {
-        !self.outlier.is_left_out(now) && (!self.outlier.awaits_trial() || self.in_flight < 1.0)
+        !self.outlier.is_excluded(now) && (!self.outlier.awaits_trial() || self.in_flight < 1.0)
     }
 
     /// An attempt was answered with success.
--- a/crates/policy/src/balancer/outlier_detection.rs
+++ b/crates/policy/src/balancer/outlier_detection.rs
@@ -30,7 +30,7 @@
     /// Smoothed share of attempts that failed.
     failure_share: f64,
     /// Until when it is left out: ejected as an outlier, or paused after it rejected an attempt.
-    left_out_until: Micros,
+    excluded_until: Micros,
     /// How often the time of the next ejection is doubled. Kept over the success that ends a trial, and cleared by the
     /// next one.
     doublings: u32,
@@ -46,8 +46,8 @@
     }
 
     /// Ejected, or paused after a rejection.
-    pub(crate) fn is_left_out(&self, now: Micros) -> bool {
-        now < self.left_out_until
+    pub(crate) fn is_excluded(&self, now: Micros) -> bool {
+        now < self.excluded_until
     }
 
     /// Ejected before, and not answered with success since.
@@ -76,7 +76,7 @@
         jitter: f64,
     ) {
         if outcome == Outcome::Rejected {
-            self.left_out_until = self.left_out_until.max(now + REJECTION_PAUSE);
+            self.excluded_until = self.excluded_until.max(now + REJECTION_PAUSE);
             return;
         }
         update_average(&mut self.failure_share, 1.0, SAMPLE_WEIGHT);
@@ -86,14 +86,14 @@
         }
         let outlier_share = OUTLIER_FAILURE_SHARE.max(OUTLIER_FACTOR * all.failure_share());
         let is_outlier = unreachable || self.failure_share > outlier_share;
-        if !self.is_left_out(now) && (is_outlier || self.awaits_trial) {
+        if !self.is_excluded(now) && (is_outlier || self.awaits_trial) {
             self.eject(now, jitter);
         }
     }
 
     fn eject(&mut self, now: Micros, jitter: f64) {
         let factor = f64::from(1 << self.doublings);
-        self.left_out_until = now + BASE_EJECTION_TIME.mul_f64(factor * jitter);
+        self.excluded_until = now + BASE_EJECTION_TIME.mul_f64(factor * jitter);
         self.doublings = (self.doublings + 1).min(MAX_DOUBLINGS);
         self.awaits_trial = true;
     }
--- a/crates/policy/src/balancer/slow_start.rs
+++ b/crates/policy/src/balancer/slow_start.rs
@@ -163,7 +163,7 @@
     fn slow_start_pace(&self, now: Micros) -> Pace {
         let in_service = || self.backends.values().filter(|backend| backend.in_service);
         let warm = || in_service().filter(|backend| !backend.slow_start.is_warming_up());
-        let usable_warm = warm().filter(|backend| !backend.outlier.is_left_out(now));
+        let usable_warm = warm().filter(|backend| !backend.outlier.is_excluded(now));
         let warm_weight: f64 = usable_warm.map(|backend| backend.weight).sum();
         let total_weight: f64 = in_service().map(|backend| backend.weight).sum();
         let enough_warm = warm_weight * MAX_TOTAL_TO_WARM >= total_weight;
--- a/crates/policy/src/engine/snapshot.rs
+++ b/crates/policy/src/engine/snapshot.rs
@@ -73,7 +73,7 @@
             concurrency_limit: backend.concurrency_limit.scaled(limit_scale),
             failure_share: backend.outlier.failure_share(),
             latency: Micros(backend.latency as u64),
-            ejected: backend.outlier.awaits_trial() || backend.outlier.is_left_out(self.now),
+            ejected: backend.outlier.awaits_trial() || backend.outlier.is_excluded(self.now),
             warming_up: backend.slow_start.is_warming_up(),
         }
     }
