--- a/crates/gateway/src/server/request_head.rs
+++ b/crates/gateway/src/server/request_head.rs
@@ -147,8 +147,8 @@
 }
 
 impl QuotaHeader {
-    /// Parses the header and rejects values out of range. Otherwise any client could have units that no class and no
-    /// tier has charged to a customer whose id it knows.
+    /// Parses the header and rejects values out of range. Otherwise any client that knows a customer's id could charge
+    /// the customer with values that no class and no tier has.
     pub(super) fn parse(value: &str, max_units: f64, gateway_count: u32) -> Option<QuotaHeader> {
         let (mut units, mut gateway_spread, mut first_gateway) = (None, None, None);
         for field in value.split(',') {
