--- a/crates/fleet/src/facts.rs
+++ b/crates/fleet/src/facts.rs
@@ -1,17 +1,17 @@
-//! What a gateway announces about itself to all members: a few short values that change seldom.
+//! The facts that a gateway announces about itself to all members: a few short values that seldom change.
 
 use crate::node::{is_short_text, MAX_LABEL_BYTES};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The most facts that one gateway announces.
+/// The maximum number of facts of one gateway.
 pub const MAX_FACTS: usize = 16;
-/// The longest value of a fact, in bytes.
+/// The maximum length of a fact's value, in bytes.
 pub const MAX_VALUE_BYTES: usize = 64;
 
-/// The gateway's number among all gateways, from 0, as its settings have it.
+/// The gateway's index among all gateways, from 0, as configured in its settings.
 pub const GATEWAY_NUMBER: &str = "number";
-/// Whether the gateway has an endpoint list.
+/// Set to [`YES`] once the gateway has an endpoint list.
 pub const READY: &str = "ready";
 /// The revision of the endpoint list in use.
 pub const ENDPOINT_LIST_REVISION: &str = "list";
@@ -19,23 +19,24 @@
 pub const CONFIG_DIGEST: &str = "file";
 /// The address from which others fetch the fleet document.
 pub const DOCUMENT_ADDRESS: &str = "plan";
-/// Whether the gateway is about to leave.
+/// Set to [`YES`] when the gateway is about to leave.
 pub const LEAVING: &str = "leaving";
-/// The value of a fact that is true.
+/// The value of a boolean fact that is true.
 pub const YES: &str = "yes";
 
-/// The facts of one gateway by name.
+/// The facts of one gateway.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Facts {
-    /// Raised with each change.
+    /// Incremented with each change.
     pub version: u32,
-    /// The values by name.
+    /// The values by fact name.
     #[serde(rename = "told")]
     pub values: BTreeMap<String, String>,
 }
 
 impl Facts {
-    /// Whether they are few and short enough to be stored and passed on.
+    /// Returns whether the number and lengths of the facts are within the limits for storing and forwarding them, and
+    /// they have no control characters.
     pub fn is_valid(&self) -> bool {
         let is_valid = |name: &str, value: &str| {
             is_short_text(name, MAX_LABEL_BYTES) && is_short_text(value, MAX_VALUE_BYTES)
@@ -43,12 +44,12 @@
         self.values.len() <= MAX_FACTS && self.values.iter().all(|(name, value)| is_valid(name, value))
     }
 
-    /// The value of a fact.
+    /// Returns the value of a fact.
     pub fn get(&self, name: &str) -> Option<&str> {
         self.values.get(name).map(String::as_str)
     }
 
-    /// Sets a value; whether that is a change.
+    /// Sets the value of a fact. Returns whether it changed.
     pub(crate) fn set(&mut self, name: &str, value: &str) -> bool {
         if self.get(name) == Some(value) {
             return false;
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,6 +1,8 @@
-//! What the gateways of a fleet know of each other and agree on: membership, and the replicated fleet document. State
-//! machines with no clock, socket or thread: datagrams, time and an operator's commands go in, datagrams and changes
-//! come out, so that all of it replays from a seed. No request waits for any of it.
+//! Fleet membership and the replicated fleet document.
+//!
+//! All modules are sans-I/O state machines with no clock, socket or thread: they take datagrams, timestamps and
+//! operator commands as input and return datagrams and changes as output, so that every run can be replayed from a
+//! seed. No request waits for any of them.
 
 pub mod facts;
 pub mod membership;
--- a/crates/fleet/src/membership.rs
+++ b/crates/fleet/src/membership.rs
@@ -1,10 +1,13 @@
-//! Membership: which gateways of the fleet are alive. A state machine with no clock and no socket: datagrams, time and
-//! announcements go in, datagrams and changes come out, and the same seed and inputs give the same outputs.
+//! Membership: tracks which gateways of the fleet are alive.
 //!
-//! The engine here dispatches. `swim` detects failures and gossips; `exchange` joins, repairs and heals by full exchanges
-//! of rows, as `anti_entropy` decides; `dissemination` spreads what members announce about themselves, `document` the
-//! version of the fleet document; `members` is the table of all others; `housekeeping` runs `disputes`, `rejoin` and
-//! `name_conflicts` on it; `clock` leaves stalls of this process out of all timers.
+//! A sans-I/O state machine: it takes datagrams, timestamps and announcements as input and returns datagrams and
+//! changes as output. The same seed and inputs give the same outputs.
+//!
+//! This module dispatches to its submodules. `swim` detects failures and gossips. `exchange` joins a fleet and repairs
+//! diverged views by exchanging all rows, when `anti_entropy` decides to. `dissemination` spreads the facts that
+//! members announce, and `document` the version of the fleet document. `members` is the table of all other members, on
+//! which `housekeeping` runs `disputes`, `rejoin` and `name_conflicts`. `clock` excludes stalls of this process from
+//! all timers.
 
 mod anti_entropy;
 mod clock;
@@ -53,22 +56,22 @@
 use swim::Swim;
 use timers::{Timer, Timers};
 
-/// What the driver is to do or to report.
+/// An action or a report for the driver.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
     /// Send a datagram.
     Send {
-        /// Where to.
+        /// The destination address.
         destination: SocketAddr,
-        /// Its bytes.
+        /// The encoded datagram.
         datagram: Vec<u8>,
     },
     /// A member's state changed.
     MemberChanged(MemberChange),
-    /// Others took this gateway for dead, or knew an earlier incarnation of it with a later start. It goes on under
-    /// this identity.
+    /// This gateway continues under this new identity, because other members declared it dead or knew an earlier
+    /// incarnation of it with a later start time.
     IdentityRenewed(Node),
-    /// Two active members have one name.
+    /// Two active members have the same name.
     NameConflict(NameConflict),
 }
 
@@ -77,13 +80,13 @@
 pub struct MemberVersion {
     /// The member.
     pub node: Node,
-    /// The version that it sent last.
+    /// The version that it last sent.
     pub version: DocumentVersion,
-    /// It announced that it is about to leave.
+    /// Whether it announced that it is about to leave.
     pub leaving: bool,
 }
 
-/// One gateway's side of membership. Times that are passed in are on the system's clock.
+/// The membership state machine of one gateway. All times passed to it are on the system clock.
 pub struct Membership {
     config: Config,
     cluster_hash: u64,
@@ -104,9 +107,10 @@
     has_left: bool,
 }
 
-/// Its life: created, driven by datagrams and timers, left.
+/// Lifecycle: creation, input of datagrams and timeouts, leaving.
 impl Membership {
-    /// A gateway that starts now with these facts and knows no member. It asks a seed address at once.
+    /// Creates the state of a gateway that starts now with these facts and knows no other member. Its first timeout
+    /// sends a request to a seed address at once.
     pub fn new(
         local: Node,
         facts: BTreeMap<String, String>,
@@ -142,12 +146,12 @@
         membership
     }
 
-    /// When `handle_timeout` is to be called next; `None`: no timer is set.
+    /// Returns when `handle_timeout` must be called next, or `None` if no timer is set.
     pub fn poll_timeout(&self) -> Option<Timestamp> {
         self.timers.first_due().map(|due| self.clock.system_time(due))
     }
 
-    /// Fires the timers that are due.
+    /// Runs the timers that are due.
     pub fn handle_timeout(&mut self, now: Timestamp) {
         self.advance(now);
         while let Some(timer) = self.timers.pop_due(self.clock.now()) {
@@ -161,7 +165,7 @@
         }
     }
 
-    /// Reads a datagram. One that can't be used is dropped and counted.
+    /// Processes a received datagram. An unusable one is dropped and counted.
     pub fn handle_datagram(&mut self, now: Timestamp, datagram: &[u8]) {
         self.advance(now);
         self.counters.datagrams_received += 1;
@@ -174,7 +178,7 @@
         }
     }
 
-    /// Announces that this gateway leaves, and does nothing more.
+    /// Announces that this gateway leaves, and stops: no timer runs and later datagrams are ignored.
     pub fn leave(&mut self, now: Timestamp) {
         self.announce(now, LEAVING, YES);
         self.swim.leave();
@@ -183,7 +187,7 @@
         self.timers.clear();
     }
 
-    /// Takes what is to be done and reported, in order.
+    /// Returns the pending outputs in order and clears them.
     pub fn poll_outputs(&mut self) -> Vec<Output> {
         std::mem::take(&mut self.outputs)
     }
@@ -193,7 +197,7 @@
     }
 }
 
-/// What this gateway makes known of itself.
+/// What this gateway announces about itself.
 impl Membership {
     /// Announces a fact about this gateway to all members.
     pub fn announce(&mut self, now: Timestamp, fact: &str, value: &str) {
@@ -205,8 +209,8 @@
         }
     }
 
-    /// This gateway acts on this version of the fleet document from now on. A later index is sent to a few others at
-    /// once, which do the same when they act on it; the rest learn it from the datagrams that are sent anyway.
+    /// Sets the version of the fleet document that this gateway acts on. A later index is sent at once to a few
+    /// members, which do the same when they act on it; all others learn it from regular datagrams.
     pub fn set_document_version(&mut self, now: Timestamp, version: DocumentVersion) {
         self.advance(now);
         let is_later = self.document.set_version(version, now);
@@ -215,8 +219,8 @@
         }
     }
 
-    /// The leader of the fleet document is known to lead; a later heartbeat is higher. Others learn it from the
-    /// datagrams that are sent anyway.
+    /// Records a heartbeat of the fleet document's leader; later heartbeats have higher numbers. Other members learn it
+    /// from regular datagrams.
     pub fn leader_heartbeat(&mut self, now: Timestamp, heartbeat: u64) {
         self.advance(now);
         self.document.record_heartbeat(heartbeat, now);
@@ -228,7 +232,7 @@
         self.rng.shuffle(&mut destinations);
         destinations.truncate(RUMOUR_FANOUT);
         for destination in destinations {
-            // The envelope holds the version.
+            // The envelope carries the version, so the payload is empty.
             self.send(destination, Kind::Rows, &[]);
         }
     }
@@ -244,7 +248,7 @@
         }
     }
 
-    /// Goes on under this incarnation, which is later than all that others know.
+    /// Switches to this incarnation, which must be later than all that other members know.
     fn renew(&mut self, incarnation: u64) {
         let node = Node { incarnation, ..self.local.clone() };
         if self.swim.change_identity(node.clone()) {
@@ -257,46 +261,47 @@
         facts.version += 1;
         self.local = node;
         self.broadcast_facts(facts);
-        self.rejoin.hasten(self.clock.now());
+        self.rejoin.schedule_now(self.clock.now());
         self.outputs.push(Output::IdentityRenewed(self.local.clone()));
     }
 }
 
-/// What is known of the fleet.
+/// Queries about the fleet.
 impl Membership {
-    /// This gateway's identity.
+    /// Returns this gateway's identity.
     pub fn local(&self) -> &Node {
         &self.local
     }
 
-    /// Equal wherever the same members are active and have announced the same facts.
+    /// Returns the view digest. Two gateways have the same digest if the same members are active in their views and
+    /// have announced the same facts.
     pub fn digest(&self) -> u64 {
         self.members.digest()
     }
 
-    /// How many members there are, this one included.
+    /// Returns the number of members by state, this gateway included.
     pub fn member_counts(&self) -> MemberCounts {
         self.members.counts()
     }
 
-    /// The state of a member, whichever of its incarnations was seen last.
+    /// Returns the state of the last known incarnation of a member.
     pub fn member_state(&self, node: &Node) -> Option<MemberState> {
         self.members.get(&node.addr()).map(|record| record.state)
     }
 
-    /// The numbers of the active gateways, this one's included.
+    /// Returns the gateway numbers of the active members, this gateway included.
     pub fn gateway_numbers(&self) -> Vec<u32> {
         let facts = self.facts.borrow();
         let number = |node: &Node| facts.get(node)?.get(GATEWAY_NUMBER)?.parse().ok();
         self.active_nodes().filter_map(number).collect()
     }
 
-    /// A fact that this incarnation of a member announced.
+    /// Returns the value of a fact that this incarnation of a member announced.
     pub fn fact(&self, node: &Node, fact: &str) -> Option<String> {
         self.facts.borrow().get(node)?.get(fact).map(str::to_string)
     }
 
-    /// The other active members, and the versions of the fleet document that they act on.
+    /// Returns the other active members with the versions of the fleet document that they act on.
     pub fn member_versions(&self) -> Vec<MemberVersion> {
         let facts = self.facts.borrow();
         let member_version = |record: &MemberRecord| MemberVersion {
@@ -307,22 +312,23 @@
         self.members.active().map(member_version).collect()
     }
 
-    /// How long ago the latest heartbeat of the document's leader became known, stalls of this process included.
+    /// Returns the time since the latest heartbeat of the document's leader was received, including stalls of this
+    /// process.
     pub fn leader_heartbeat_age(&self, now: Timestamp) -> Duration {
         self.document.heartbeat_age(now)
     }
 
-    /// How many members lately sent another view digest.
+    /// Returns the number of members whose last recent view digest differs from this gateway's.
     pub fn disagreeing(&self) -> usize {
         self.members.disagreeing(self.clock.now(), self.config.probe_period)
     }
 
-    /// What was counted since the start.
+    /// Returns the counters since the start.
     pub fn counters(&self) -> Counters {
         Counters { stalls: self.clock.stalls(), ..self.counters }
     }
 
-    /// All that is known of the fleet.
+    /// Returns this gateway's full view of the fleet.
     pub fn view(&self) -> View {
         let snapshot = Snapshot {
             local: &self.local,
@@ -341,7 +347,7 @@
     }
 }
 
-/// Datagrams from others.
+/// Processing of received datagrams.
 impl Membership {
     fn process_datagram(&mut self, datagram: &[u8]) -> Result<(), DropReason> {
         let (envelope, payload) = Envelope::decode(datagram, self.cluster_hash)?;
@@ -376,15 +382,15 @@
     }
 }
 
-/// SWIM's requests, and what is sent.
+/// Integration with SWIM, and sending.
 impl Membership {
-    /// Takes over members' states.
+    /// Applies member states received from `observer`.
     fn apply(&mut self, members: impl IntoIterator<Item = Member<Node>>, observer: &Observer) {
         self.swim.apply(members);
         self.process_swim(observer);
     }
 
-    /// Carries out what SWIM wants done, and brings the member table in step with it.
+    /// Handles SWIM's pending notifications, messages and timers, and updates the member table from its states.
     fn process_swim(&mut self, observer: &Observer) {
         while let Some(node) = self.swim.next_renewal() {
             self.identity_renewed(node);
--- a/crates/fleet/src/membership/anti_entropy.rs
+++ b/crates/fleet/src/membership/anti_entropy.rs
@@ -1,9 +1,9 @@
-//! Anti-entropy: two members exchange all rows of their member tables.
+//! Anti-entropy: decides when two members exchange all rows of their member tables, and how received rows are applied.
 //!
-//! SWIM alone keeps a member that was declared dead as dead until it returns under a new incarnation, and passes a
-//! change on only a bounded number of times. So each datagram carries the digest of its sender's view; a member whose
-//! digest differs for longer than gossip takes is asked for all its rows. The same exchange joins a new member by an
-//! address alone, and reaches out to dead ones, so that a healed partition becomes one view again.
+//! SWIM alone treats a member that was declared dead as dead until it returns under a new incarnation, and transmits
+//! each update only a bounded number of times. Therefore each datagram carries the digest of its sender's view, and a
+//! member whose digest differs for longer than gossip takes is asked for all its rows. The same exchange lets a new
+//! member join with only an address, and contacts dead members, so that the views converge after a partition heals.
 
 use super::members::MemberRecord;
 use crate::node::Node;
@@ -13,13 +13,13 @@
 use foca::{Identity, State};
 use std::time::Duration;
 
-/// Exchanges answered in a probe period, and at once. Guards against one that asks in a loop, and bounds what is sent
-/// to a forged address.
+/// The number of exchanges answered per probe period, all of which may be answered in one burst. The limit protects
+/// against a peer that sends requests in a loop, and bounds the traffic sent to a forged address.
 const MAX_ANSWERS_PER_PROBE_PERIOD: u32 = 16;
-/// How long gossip has to make digests equal, in probe periods.
+/// The time for gossip to make digests equal before an exchange is requested, in probe periods.
 const SETTLE_PROBE_PERIODS: u32 = 2;
 
-/// When exchanges are asked for, and how many more may be answered.
+/// Rate limits for requesting and answering exchanges.
 pub(super) struct AntiEntropy {
     next_request_at: Timestamp,
     answers_left: u32,
@@ -30,19 +30,20 @@
         AntiEntropy { next_request_at: now, answers_left: MAX_ANSWERS_PER_PROBE_PERIOD }
     }
 
-    /// Whether one more exchange may be answered in this probe period; if so, it is counted as answered.
+    /// Returns whether one more exchange may be answered in this probe period, and counts it if so.
     pub(super) fn take_answer(&mut self) -> bool {
         let may_answer = self.answers_left > 0;
         self.answers_left = self.answers_left.saturating_sub(1);
         may_answer
     }
 
-    /// A probe period began.
+    /// Resets the answer limit at the start of a probe period.
     pub(super) fn refill_answers(&mut self) {
         self.answers_left = MAX_ANSWERS_PER_PROBE_PERIOD;
     }
 
-    /// Whether a member with another digest is to be asked for its rows now; if so, the next one is asked later.
+    /// Returns whether to request rows now from a member with a different digest, and if so schedules the earliest
+    /// time of the next request.
     pub(super) fn take_request(
         &mut self,
         now: Timestamp,
@@ -59,25 +60,27 @@
     }
 }
 
-/// What is done with a row that another member sent.
+/// How to handle a row received from another member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RowAction {
-    /// It names this gateway under a later incarnation, as after its clock was set back.
+    /// The row has a later incarnation of this gateway, as after its clock was set back. This gateway must renew its
+    /// identity with an incarnation above this one.
     ExceedIncarnation(u64),
-    /// It says nothing new about this gateway.
+    /// The row has no newer identity of this gateway and is ignored.
     Skip,
-    /// It names this gateway as it is.
+    /// The row has this gateway's current identity.
     ApplyLocal,
-    /// It names a new member, and there is no capacity.
+    /// The row has a new member, and the member table is full.
     Reject,
-    /// It goes into the member table.
+    /// The row is applied to the member table.
     Apply,
-    /// The sender takes for dead a member that is alive here. Were that taken over, both sides of a healed partition
-    /// would lose all their members at once. The member is notified, and has a moment to return under a new incarnation.
+    /// The sender declares a member dead that is alive in this gateway's view. The member is notified and has some time
+    /// to return under a new incarnation. Applying the row at once would make both sides of a healed partition lose all
+    /// their members at the same time.
     Dispute,
 }
 
-/// What is to be done with a row. `known` is the record at its address, `capacity` how many new members fit.
+/// Decides how to handle a row. `known` is the record at its address, `capacity` the number of new members that fit.
 pub(super) fn classify_row(
     row: &Row,
     local: &Node,
--- a/crates/fleet/src/membership/clock.rs
+++ b/crates/fleet/src/membership/clock.rs
@@ -1,13 +1,13 @@
-//! The engine's own clock, which leaves out the time that this process was stalled.
+//! The process clock of membership, which excludes the time during which this process was stalled.
 //!
-//! After a stall all timers come due at once. Were they to fire, this gateway would take every other member for dead
-//! before it has read the answers that wait for it. So own time stops when a timer is overdue by more than half a
-//! probe period.
+//! After a stall all timers are due at once. If they all fired, this gateway would declare every other member dead
+//! before reading the answers that are already waiting. Therefore process time stops when a timer is overdue by more
+//! than half a probe period.
 
 use crate::time::Timestamp;
 use std::time::Duration;
 
-/// Own time, and the stalls that it leaves out.
+/// Process time, and the stalls excluded from it.
 pub(super) struct ProcessClock {
     now: Timestamp,
     stalled: Duration,
@@ -19,22 +19,23 @@
         ProcessClock { now, stalled: Duration::ZERO, stalls: 0 }
     }
 
-    /// Own time.
+    /// Returns the current process time.
     pub(super) fn now(&self) -> Timestamp {
         self.now
     }
 
-    /// The time that the system's clock shows at a point of own time.
-    pub(super) fn system_time(&self, own: Timestamp) -> Timestamp {
-        own + self.stalled
+    /// Converts a process time to system time.
+    pub(super) fn system_time(&self, process_time: Timestamp) -> Timestamp {
+        process_time + self.stalled
     }
 
-    /// How many stalls there were.
+    /// Returns the number of stalls.
     pub(super) fn stalls(&self) -> u64 {
         self.stalls
     }
 
-    /// Moves own time on to what the system's clock shows. `first_timer` is the next timer that is due, in own time.
+    /// Advances process time to the system time `system`. `first_timer` is the due time of the next timer, in process
+    /// time.
     pub(super) fn advance(
         &mut self,
         system: Timestamp,
--- a/crates/fleet/src/membership/codec.rs
+++ b/crates/fleet/src/membership/codec.rs
@@ -1,14 +1,14 @@
-//! The encoding of SWIM messages: postcard's, with invalid identities rejected.
+//! Encodes and decodes SWIM messages with postcard, and rejects invalid identities.
 
 use crate::node::Node;
 use bytes::{Buf, BufMut};
 use foca::{Codec, Header, Member, PostcardCodec};
 
-/// The latest incarnation that is accepted, in microseconds of Unix time: the year 2255. Guards against a forged one
-/// that no later incarnation could exceed.
+/// The highest accepted incarnation, in microseconds of Unix time: the year 2255. The limit rejects a forged
+/// incarnation that no later one could exceed.
 pub(super) const MAX_INCARNATION: u64 = 1 << 53;
 
-/// Decodes only identities that are valid.
+/// A postcard codec that rejects invalid identities when decoding.
 pub(super) struct ValidatingCodec(PostcardCodec);
 
 impl ValidatingCodec {
@@ -17,7 +17,7 @@
     }
 }
 
-/// Whether an identity may be taken into the member table.
+/// Returns whether an identity may be stored in the member table.
 pub(super) fn is_acceptable(node: &Node) -> bool {
     node.is_valid() && node.incarnation <= MAX_INCARNATION
 }
@@ -51,7 +51,7 @@
     }
 }
 
-/// Whether a SWIM message can be read and names only nodes that are known.
+/// Returns whether a SWIM message can be decoded and contains only known nodes.
 pub(super) fn names_only(mut message: &[u8], is_known: impl Fn(&Node) -> bool) -> bool {
     let mut codec = ValidatingCodec::new();
     let Ok(header) = codec.decode_header(&mut message) else { return false };
--- a/crates/fleet/src/membership/config.rs
+++ b/crates/fleet/src/membership/config.rs
@@ -1,4 +1,4 @@
-//! The configuration of membership, and the parameters of SWIM that follow from it.
+//! The configuration of membership, and the SWIM parameters derived from it.
 
 use crate::node::Node;
 use crate::time::micros;
@@ -9,51 +9,51 @@
 use std::num::{NonZeroU8, NonZeroUsize};
 use std::time::Duration;
 
-/// How many members a gossip message goes to.
+/// The number of members that a gossip message is sent to.
 pub(super) const GOSSIP_FANOUT: usize = 2;
 
-/// A suspect has this many probe periods, times the decimal logarithm of the fleet's size, to refute.
+/// The time that a suspect has to refute, in probe periods per decimal logarithm of the fleet's size.
 const SUSPICION_PROBE_PERIODS: f64 = 4.0;
-/// An update is passed on this many times, times the binary logarithm of the fleet's size.
+/// The number of times that an update is transmitted, per binary logarithm of the fleet's size.
 const TRANSMISSIONS_PER_LOG2_MEMBERS: f64 = 2.0;
 const MIN_TRANSMISSIONS: f64 = 4.0;
 const MAX_TRANSMISSIONS: f64 = 250.0;
 const GOSSIP_ROUNDS_PER_PROBE_PERIOD: u32 = 5;
 const INDIRECT_PROBES: usize = 3;
-/// The part of a probe period in which a probe is to be answered.
+/// A probe must be answered within the probe period divided by this.
 const PROBE_TIMEOUT_DIVISOR: u32 = 3;
 
 /// The configuration of membership.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// The fleet's name. Datagrams of another cluster are dropped.
+    /// The name of the fleet. Datagrams of other clusters are dropped.
     pub cluster: String,
-    /// Each member probes one other in this time.
+    /// The interval at which each member probes one other member.
     pub probe_period: Duration,
-    /// How long members that left or died are remembered.
+    /// How long members that left or died are kept in the member table.
     pub retention: Duration,
-    /// The most members that are stored, those that left or died included.
+    /// The maximum number of stored members, including those that left or died.
     pub max_members: usize,
-    /// Where the fleet is joined, and rejoined as long as no active member is there.
+    /// The addresses through which the fleet is joined. Those without an active member are contacted periodically.
     pub seed_addresses: Vec<SocketAddr>,
-    /// The addresses that members announce and that are reached at another one from here.
+    /// Maps announced addresses to the addresses at which this gateway reaches those members, where they differ.
     pub address_map: BTreeMap<SocketAddr, SocketAddr>,
 }
 
 impl Config {
-    /// Where a member is reached from here.
+    /// Returns the address at which this gateway reaches a member.
     pub(super) fn route(&self, node: &Node) -> SocketAddr {
         self.address_map.get(&node.address).copied().unwrap_or(node.address)
     }
 
-    /// How long a suspect has to refute in a fleet of this size.
+    /// Returns how long a suspect has to refute in a fleet of this size.
     pub(super) fn suspicion_timeout(&self, members: usize) -> Duration {
         let scale = (members as f64).log10().max(1.0);
         let timeout = micros(self.probe_period) as f64 * SUSPICION_PROBE_PERIODS * scale;
         Duration::from_micros(timeout as u64)
     }
 
-    /// SWIM's parameters in a fleet of this size.
+    /// Returns the SWIM parameters for a fleet of this size.
     pub(super) fn swim(&self, members: usize) -> foca::Config {
         let gossip = PeriodicParams {
             frequency: self.probe_period / GOSSIP_ROUNDS_PER_PROBE_PERIOD,
--- a/crates/fleet/src/membership/counters.rs
+++ b/crates/fleet/src/membership/counters.rs
@@ -1,32 +1,32 @@
-//! What membership counts since its start, and why datagrams are dropped.
+//! Counters of membership, and the reasons for dropping datagrams.
 
 use crate::wire::DecodeError;
 
-/// Why a datagram was dropped. Each reason is counted.
+/// Why a datagram was dropped. Drops are counted by reason.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DropReason {
-    /// It is not a datagram of the fleet's, or its contents are invalid.
-    #[error("it is malformed")]
+    /// The datagram does not have the fleet's format, or its contents are invalid.
+    #[error("the datagram is malformed")]
     Malformed,
-    /// It is another cluster's.
-    #[error("it is another cluster's")]
+    /// The datagram was sent by a member of another cluster.
+    #[error("the datagram belongs to another cluster")]
     OtherCluster,
-    /// This build does not know its version.
-    #[error("its version is not supported")]
+    /// This build does not support the datagram's protocol version.
+    #[error("the datagram's protocol version is not supported")]
     UnsupportedVersion,
-    /// It names new members, and the member table is full.
+    /// The datagram contains new members, and the member table is full.
     #[error("the member table is full")]
     MemberTableFull,
-    /// It asks for rows more often than they are sent.
-    #[error("rows are asked for too often")]
+    /// The datagram requests rows, and the limit of answers is used up.
+    #[error("rows are requested too often")]
     RateLimited,
-    /// This gateway sent it itself.
-    #[error("this gateway sent it")]
+    /// This gateway sent the datagram itself.
+    #[error("this gateway sent the datagram itself")]
     OwnDatagram,
 }
 
 impl DropReason {
-    /// Each reason, in the order in which they are counted.
+    /// All reasons, in the order of their discriminants, by which `DropCounts` is indexed.
     pub const ALL: [DropReason; 6] = [
         DropReason::Malformed,
         DropReason::OtherCluster,
@@ -36,7 +36,7 @@
         DropReason::OwnDatagram,
     ];
 
-    /// Its label in metrics.
+    /// Returns the reason's label in metrics.
     pub const fn label(self) -> &'static str {
         match self {
             DropReason::Malformed => "malformed",
@@ -64,12 +64,12 @@
     }
 }
 
-/// How many datagrams were dropped for which reason.
+/// The number of dropped datagrams by reason.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DropCounts([u64; DropReason::ALL.len()]);
 
 impl DropCounts {
-    /// How many were dropped for this reason.
+    /// Returns the number of datagrams dropped for this reason.
     pub fn get(&self, reason: DropReason) -> u64 {
         self.0[reason as usize]
     }
@@ -79,25 +79,25 @@
     }
 }
 
-/// What was counted since the start.
+/// Counts since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Datagrams received, those that were dropped included.
+    /// Datagrams received, including those that were dropped.
     pub datagrams_received: u64,
-    /// Their bytes.
+    /// Bytes of the datagrams received.
     pub bytes_received: u64,
     /// Datagrams sent.
     pub datagrams_sent: u64,
-    /// Their bytes.
+    /// Bytes of the datagrams sent.
     pub bytes_sent: u64,
     /// Datagrams dropped, by reason.
     pub datagrams_dropped: DropCounts,
-    /// Anti-entropy exchanges that this gateway asked for.
+    /// Anti-entropy exchanges requested by this gateway.
     pub exchanges_requested: u64,
-    /// Anti-entropy exchanges that it answered.
+    /// Anti-entropy exchanges answered by this gateway.
     pub exchanges_answered: u64,
-    /// Times that this process was stalled for longer than half a probe period.
+    /// Stalls of this process that made a timer overdue by more than half a probe period.
     pub stalls: u64,
-    /// Times that a member was suspected.
+    /// Transitions of a member to suspect.
     pub suspicions: u64,
 }
--- a/crates/fleet/src/membership/disputes.rs
+++ b/crates/fleet/src/membership/disputes.rs
@@ -1,11 +1,13 @@
-//! Members that are alive here and that another member takes for dead. They have a moment to be heard from or to return
-//! under a new incarnation; then they are taken for dead here as well.
+//! Tracks members that are alive in this gateway's view and that another member declared dead.
+//!
+//! Until the deadline such a member can send a datagram or return under a new incarnation; otherwise this gateway
+//! declares it dead as well.
 
 use crate::node::Address;
 use crate::time::Timestamp;
 use std::collections::BTreeMap;
 
-/// One disputed member.
+/// A disputed member and its deadline.
 #[derive(Clone, Copy)]
 pub(super) struct Dispute {
     pub(super) address: Address,
@@ -13,19 +15,19 @@
     pub(super) deadline: Timestamp,
 }
 
-/// The members that are disputed.
+/// The open disputes, by member address.
 #[derive(Default)]
 pub(super) struct Disputes {
     by_address: BTreeMap<Address, Dispute>,
 }
 
 impl Disputes {
-    /// Opens a dispute, unless there is one about this member.
+    /// Opens a dispute unless one about this member is already open.
     pub(super) fn open(&mut self, dispute: Dispute) {
         self.by_address.entry(dispute.address).or_insert(dispute);
     }
 
-    /// Takes those whose deadline has come.
+    /// Removes and returns the disputes whose deadline has passed.
     pub(super) fn take_expired(&mut self, now: Timestamp) -> Vec<Dispute> {
         let is_expired = |dispute: &&Dispute| now >= dispute.deadline;
         let expired: Vec<Dispute> = self.by_address.values().filter(is_expired).copied().collect();
@@ -33,7 +35,7 @@
         expired
     }
 
-    /// Keeps only disputes about members that are still known.
+    /// Keeps only the disputes about members that are still known.
     pub(super) fn retain(&mut self, is_member: impl Fn(&Address) -> bool) {
         self.by_address.retain(|address, _| is_member(address));
     }
--- a/crates/fleet/src/membership/dissemination.rs
+++ b/crates/fleet/src/membership/dissemination.rs
@@ -1,4 +1,4 @@
-//! The facts that members announce about themselves, and their broadcast on SWIM's messages.
+//! Stores the facts that members announce about themselves, and broadcasts them on SWIM messages.
 
 use super::codec::MAX_INCARNATION;
 use crate::facts::{Facts, LEAVING, YES};
@@ -10,7 +10,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// The facts of one incarnation.
+/// The facts announced by one incarnation.
 struct FactsRecord {
     incarnation: u64,
     facts: Facts,
@@ -23,7 +23,7 @@
     changed: bool,
 }
 
-/// The table as SWIM's broadcast handler and the engine share it.
+/// The facts table, shared by SWIM's broadcast handler and the membership state machine.
 pub(super) type SharedFacts = Rc<RefCell<FactsTable>>;
 
 impl FactsTable {
@@ -31,8 +31,8 @@
         FactsTable { records: HashMap::new(), max_members, changed: false }
     }
 
-    /// Takes over a member's facts where they are newer than those stored, valid, and there is capacity; whether they
-    /// were taken over.
+    /// Stores a member's facts if they are valid, newer than those stored, and the table has capacity. Returns whether
+    /// they were stored.
     pub(super) fn insert_if_newer(&mut self, address: Address, incarnation: u64, facts: Facts) -> bool {
         let stored = self.records.get(&address).map(|record| (record.incarnation, record.facts.version));
         let is_newer = stored.is_none_or(|stored| (incarnation, facts.version) > stored);
@@ -44,45 +44,45 @@
         true
     }
 
-    /// Stores facts whatever is there. For this gateway's own, which a full table must not reject.
+    /// Stores facts unconditionally. Used for this gateway's own facts, which a full table must not reject.
     pub(super) fn insert(&mut self, address: Address, incarnation: u64, facts: Facts) {
         self.records.insert(address, FactsRecord { incarnation, facts });
         self.changed = true;
     }
 
-    /// The facts of this incarnation.
+    /// Returns the facts announced by this incarnation.
     pub(super) fn get(&self, node: &Node) -> Option<&Facts> {
         let record = self.records.get(&node.addr())?;
         (record.incarnation == node.incarnation).then_some(&record.facts)
     }
 
-    /// The facts of whichever incarnation announced some last.
+    /// Returns the latest facts at this address, from any incarnation.
     pub(super) fn latest(&self, address: &Address) -> Option<&Facts> {
         self.records.get(address).map(|record| &record.facts)
     }
 
-    /// The version of this incarnation's facts; 0: it announced none.
+    /// Returns the version of this incarnation's facts, or 0 if it announced none.
     pub(super) fn version(&self, node: &Node) -> u32 {
         self.get(node).map_or(0, |facts| facts.version)
     }
 
-    /// Whether this incarnation announced that it is about to leave.
+    /// Returns whether this incarnation announced that it is about to leave.
     pub(super) fn is_leaving(&self, node: &Node) -> bool {
         self.get(node).and_then(|facts| facts.get(LEAVING)) == Some(YES)
     }
 
-    /// Keeps only the facts of members that are still known.
+    /// Keeps only the facts of the members for which `is_member` returns true.
     pub(super) fn retain(&mut self, is_member: impl Fn(&Address) -> bool) {
         self.records.retain(|address, _| is_member(address));
     }
 
-    /// Whether facts changed since this was last called.
+    /// Returns whether facts changed since the last call.
     pub(super) fn take_changed(&mut self) -> bool {
         std::mem::take(&mut self.changed)
     }
 }
 
-/// Facts as they are broadcast.
+/// The encoded form of broadcast facts.
 #[derive(Serialize, Deserialize)]
 struct FactsBroadcast {
     address: (String, SocketAddr),
@@ -90,13 +90,13 @@
     facts: Facts,
 }
 
-/// Encodes a node's facts for the broadcast; `None`: they can't be encoded.
+/// Encodes a node's facts for broadcast. Returns `None` if encoding fails.
 pub(super) fn encode_broadcast(node: &Node, facts: Facts) -> Option<Vec<u8>> {
     let address = (node.name.clone(), node.address);
     postcard::to_allocvec(&FactsBroadcast { address, incarnation: node.incarnation, facts }).ok()
 }
 
-/// Whose facts a broadcast holds. A newer broadcast with the same key replaces the older one.
+/// Identifies the member whose facts a broadcast contains. A newer broadcast with the same key replaces the older one.
 pub(super) struct BroadcastKey(Address);
 
 impl Invalidates for BroadcastKey {
@@ -105,7 +105,7 @@
     }
 }
 
-/// Stores facts that arrive, and lets those that are new be passed on.
+/// Stores received facts and lets SWIM forward those that are new.
 pub(super) struct FactsHandler {
     pub(super) facts: SharedFacts,
     pub(super) local: Address,
@@ -122,7 +122,8 @@
     ) -> Result<Option<BroadcastKey>, postcard::Error> {
         let FactsBroadcast { address: (name, socket), incarnation, facts } = postcard::from_bytes(data)?;
         let address = Address::new(&name, socket);
-        // What this gateway announces itself has no sender. From others come only facts of an earlier incarnation.
+        // Announcements of this gateway itself have no sender. Those about this gateway that arrive from other members
+        // are of an earlier incarnation and are ignored.
         let is_own_announcement = sender.is_none();
         if !is_own_announcement && address == self.local {
             return Ok(None);
--- a/crates/fleet/src/membership/document.rs
+++ b/crates/fleet/src/membership/document.rs
@@ -1,20 +1,20 @@
-//! The version of the fleet document that this gateway acts on, and the heartbeat of the document's leader. Both travel
-//! in each datagram's envelope.
+//! Tracks the version of the fleet document that this gateway acts on, and the latest heartbeat of the document's
+//! leader. Both are sent in the envelope of each datagram.
 
 use crate::replication::replica::DocumentVersion;
 use crate::time::Timestamp;
 use std::time::Duration;
 
-/// How many members a rumour of a later version goes to.
+/// The number of members that a rumour of a later version is sent to.
 pub(super) const RUMOUR_FANOUT: usize = 3;
 const MAX_RUMOURS_PER_PROBE_PERIOD: u32 = 20;
 
-/// The document's state here.
+/// The document version and leader heartbeat known to this gateway.
 pub(super) struct DocumentState {
     version: DocumentVersion,
-    /// The latest heartbeat known; a later one is higher.
+    /// The latest known heartbeat; later heartbeats have higher numbers.
     leader_heartbeat: u64,
-    /// When it was received, by the system's clock, since a stall doesn't keep a lease from running out.
+    /// When `leader_heartbeat` was received, on the system clock, because leases expire during a stall as well.
     heartbeat_received_at: Timestamp,
     next_rumour_at: Timestamp,
 }
@@ -37,7 +37,8 @@
         self.leader_heartbeat
     }
 
-    /// Acts on this version from now on; whether its index is later. The heartbeat of another document counts no more.
+    /// Sets the version that this gateway acts on, and returns whether its index is later. A change to another document
+    /// resets the heartbeat.
     pub(super) fn set_version(&mut self, version: DocumentVersion, system_now: Timestamp) -> bool {
         let is_later = version.index > self.version.index;
         if version.document != self.version.document {
@@ -48,7 +49,7 @@
         is_later
     }
 
-    /// Whether a rumour may be sent now; if so, it is counted as sent.
+    /// Returns whether a rumour may be sent now, and if so schedules the earliest time of the next one.
     pub(super) fn take_rumour(&mut self, now: Timestamp, probe_period: Duration) -> bool {
         let may_send = now >= self.next_rumour_at;
         if may_send {
@@ -57,7 +58,7 @@
         may_send
     }
 
-    /// A heartbeat of this document's leader became known.
+    /// Records a heartbeat of this document's leader, if it is later than the one known.
     pub(super) fn record_heartbeat(&mut self, heartbeat: u64, system_now: Timestamp) {
         if heartbeat > self.leader_heartbeat {
             self.leader_heartbeat = heartbeat;
@@ -65,7 +66,7 @@
         }
     }
 
-    /// A peer that acts on this version knows this heartbeat.
+    /// Records the heartbeat that a peer sent, if the peer acts on the same document.
     pub(super) fn record_peer_heartbeat(
         &mut self,
         peer: DocumentVersion,
@@ -77,7 +78,7 @@
         }
     }
 
-    /// How long ago the latest heartbeat became known.
+    /// Returns the time since the latest heartbeat was received.
     pub(super) fn heartbeat_age(&self, system_now: Timestamp) -> Duration {
         system_now.saturating_duration_since(self.heartbeat_received_at)
     }
--- a/crates/fleet/src/membership/exchange.rs
+++ b/crates/fleet/src/membership/exchange.rs
@@ -1,5 +1,5 @@
-//! The anti-entropy exchange as a member takes part in it: it asks for rows, answers with its own, and merges what it
-//! receives. `anti_entropy` decides when, and what a row is good for.
+//! The anti-entropy exchange: requests rows, answers requests with all own rows, and merges received rows.
+//! `anti_entropy` decides when to exchange and how each row is handled.
 
 use super::anti_entropy::{classify_row, RowAction};
 use super::codec::is_acceptable;
@@ -20,7 +20,7 @@
         }
     }
 
-    /// A node asks for all rows, and is a member from here on.
+    /// Answers a node's request for all rows, and adds that node as a member.
     pub(super) fn answer_exchange(&mut self, payload: &[u8]) -> Result<(), DropReason> {
         let sender: Node = postcard::from_bytes(payload).map_err(|_| DropReason::Malformed)?;
         if !is_acceptable(&sender) {
@@ -54,7 +54,7 @@
         payloads.iter().for_each(|payload| self.send(destination, Kind::Rows, payload));
     }
 
-    /// Takes over the rows of another member's table.
+    /// Merges the rows of another member's table into this one.
     pub(super) fn merge_rows(&mut self, payload: &[u8], observer: &Observer) -> Result<(), DropReason> {
         let rows = wire::decode_rows(payload)?;
         if rows.iter().any(|row| !is_acceptable(row.member.id())) {
@@ -93,7 +93,7 @@
         row.member
     }
 
-    /// Tells members that others take for dead, and gives them a moment to refute.
+    /// Opens disputes about members that others declared dead, and notifies those members so that they can refute.
     fn dispute(&mut self, disputed: Vec<Member<Node>>) {
         let timeout = self.config.suspicion_timeout(self.members.fleet_size());
         let deadline = self.clock.now() + timeout;
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Asks a sender with another view for its rows, once gossip has had time to make the views equal.
+    /// Requests the rows of a sender whose view differs, once gossip has had time to make the views equal.
     pub(super) fn request_exchange_if_diverged(&mut self, sender: &Address, view_digest: u64) {
         let Some(record) = self.members.get(sender).filter(|record| record.state.is_active()) else { return };
         let destination = self.config.route(&record.node);
--- a/crates/fleet/src/membership/housekeeping.rs
+++ b/crates/fleet/src/membership/housekeeping.rs
@@ -1,4 +1,4 @@
-//! Periodic work, once in a probe period: what no datagram brings about.
+//! Periodic work that no datagram triggers, run once per probe period.
 
 use super::timers::Timer;
 use super::{Membership, Output};
@@ -20,15 +20,15 @@
         }
     }
 
-    /// Takes for dead the disputed members that were not heard from in time.
+    /// Declares dead the disputed members from which no datagram arrived in time.
     fn settle_disputes(&mut self) {
         for dispute in self.disputes.take_expired(self.clock.now()) {
             let Some(record) = self.members.get(&dispute.address) else { continue };
             let timeout = self.config.suspicion_timeout(self.members.fleet_size());
-            let was_heard =
+            let was_seen =
                 record.last_digest.is_some_and(|received| received.at + timeout > dispute.deadline);
             let is_same = record.node.incarnation == dispute.incarnation;
-            if is_same && record.state.is_active() && !was_heard {
+            if is_same && record.state.is_active() && !was_seen {
                 let dead = Member::down(record.node.clone());
                 self.apply([dead], &Observer::Local);
             }
@@ -57,7 +57,7 @@
         }
     }
 
-    /// The seed addresses and dead members' addresses at which no active member is.
+    /// Returns the seed addresses and addresses of dead members at which there is no active member.
     fn missing_addresses(&self) -> Vec<SocketAddr> {
         let active: Vec<SocketAddr> = self.active_nodes().map(|node| self.config.route(node)).collect();
         let dead = self.members.iter().filter(|record| record.state == MemberState::Dead);
--- a/crates/fleet/src/membership/members.rs
+++ b/crates/fleet/src/membership/members.rs
@@ -1,4 +1,4 @@
-//! The member table: what this gateway knows of each other member, brought in step with SWIM's states.
+//! The member table: the state of each other member, updated from SWIM's states.
 
 use super::dissemination::FactsTable;
 use crate::node::{Address, Node};
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::{xxh3_64, Xxh3};
 
-/// How long a digest that a member sent counts, in probe periods.
+/// How long a received digest stays valid, in probe periods.
 const DIGEST_MAX_AGE_PROBE_PERIODS: u32 = 10;
 
 /// A view digest that a member sent.
@@ -21,18 +21,18 @@
     pub(super) at: Timestamp,
 }
 
-/// One other member.
+/// The state of one other member.
 pub(super) struct MemberRecord {
     pub(super) node: Node,
-    /// The key of its identity, by which its datagrams name it.
+    /// The key of its identity, by which its datagrams identify it.
     key: u64,
     pub(super) state: MemberState,
     pub(super) observer: Observer,
-    /// Since when it has been in this state.
+    /// When it entered this state.
     pub(super) changed_at: Timestamp,
     /// The last view digest that it sent.
     pub(super) last_digest: Option<ReceivedDigest>,
-    /// The version of the fleet document that it said last that it acts on.
+    /// The version of the fleet document that it acts on, as last received.
     pub(super) document_version: DocumentVersion,
 }
 
@@ -40,11 +40,11 @@
 pub(super) struct MemberTable {
     by_address: BTreeMap<Address, MemberRecord>,
     address_by_key: HashMap<u64, Address>,
-    /// Of SWIM's states, when the table was last brought in step with them.
+    /// The fingerprint of SWIM's states at the last call of `take_swim_change`.
     swim_fingerprint: u64,
-    /// Of the active members and their facts.
+    /// The digest of the active members and the versions of their facts.
     digest: u64,
-    /// Raised with each change of the digest.
+    /// Incremented with each change of the digest.
     version: u64,
     changed_at: Timestamp,
 }
@@ -65,7 +65,7 @@
         self.by_address.len()
     }
 
-    /// How many members the fleet has, this one and those that are gone included.
+    /// Returns the number of members, including this gateway and those that left or died.
     pub(super) fn fleet_size(&self) -> usize {
         self.len() + 1
     }
@@ -82,12 +82,12 @@
         self.by_address.values()
     }
 
-    /// Those that are alive or suspect.
+    /// Returns the members that are alive or suspect.
     pub(super) fn active(&self) -> impl Iterator<Item = &MemberRecord> {
         self.iter().filter(|record| record.state.is_active())
     }
 
-    /// How many members there are, this one included.
+    /// Returns the number of members by state, this gateway included.
     pub(super) fn counts(&self) -> MemberCounts {
         let active = self.active().count();
         let suspect = self.iter().filter(|record| record.state == MemberState::Suspect).count();
@@ -102,17 +102,17 @@
         self.version
     }
 
-    /// When the digest last changed.
+    /// Returns when the digest last changed.
     pub(super) fn changed_at(&self) -> Timestamp {
         self.changed_at
     }
 
-    /// Notes what a member's envelope says of it; the member, where it is known.
+    /// Records the digest and document version from a member's envelope. Returns the member's record if it is known.
     pub(super) fn record_envelope(&mut self, envelope: &Envelope, now: Timestamp) -> Option<&MemberRecord> {
         let address = self.address_by_key.get(&envelope.sender)?;
         let record = self.by_address.get_mut(address)?;
         record.last_digest = Some(ReceivedDigest { digest: envelope.view_digest, at: now });
-        // Datagrams may overtake each other.
+        // Datagrams can arrive out of order, so an earlier index of the same document is ignored.
         let (received, recorded) = (envelope.document_version, record.document_version);
         if received.document != recorded.document || received.index >= recorded.index {
             record.document_version = received;
@@ -120,8 +120,8 @@
         Some(record)
     }
 
-    /// Whether a member has the same view; `None`: it is not active, or sent no digest since the last change here or
-    /// for long.
+    /// Returns whether a member has the same view, or `None` if it is not active or its last digest is older than the
+    /// last change of this view or than the maximum age.
     pub(super) fn agrees(
         &self,
         record: &MemberRecord,
@@ -134,18 +134,18 @@
         record.state.is_active().then_some(received.digest == self.digest)
     }
 
-    /// How many members lately sent another digest.
+    /// Returns the number of members whose last digest is recent and differs.
     pub(super) fn disagreeing(&self, now: Timestamp, probe_period: Duration) -> usize {
         self.iter().filter(|record| self.agrees(record, now, probe_period) == Some(false)).count()
     }
 
-    /// Whether SWIM's states are others than when this was last called.
+    /// Returns whether SWIM's states changed since the last call.
     pub(super) fn take_swim_change<'a>(&mut self, swim: impl Iterator<Item = &'a Member<Node>>) -> bool {
         let fingerprint = swim_fingerprint(swim);
         std::mem::replace(&mut self.swim_fingerprint, fingerprint) != fingerprint
     }
 
-    /// Brings the table in step with SWIM's states; the changes.
+    /// Updates the table from SWIM's states and returns the changes.
     pub(super) fn update<'a>(
         &mut self,
         swim: impl Iterator<Item = &'a Member<Node>>,
@@ -167,7 +167,7 @@
                 continue;
             }
             let previous = known.map(|known| known.state);
-            // A member that became known only after its end is no change.
+            // A member that was already gone when it became known is not reported as a change.
             if previous.is_some() || state.is_active() {
                 changes.push(MemberChange {
                     node: node.clone(),
@@ -199,7 +199,7 @@
         }
     }
 
-    /// Drops the members that SWIM forgot; whether there were any.
+    /// Removes the members that SWIM no longer remembers. Returns whether there were any.
     pub(super) fn forget_removed<'a>(
         &mut self,
         swim: impl ExactSizeIterator<Item = &'a Member<Node>>,
@@ -213,7 +213,7 @@
         true
     }
 
-    /// Computes the view's digest anew.
+    /// Recomputes the digest of the view.
     pub(super) fn update_digest(&mut self, local: &Node, facts: &FactsTable, now: Timestamp) {
         let digest = self.compute_digest(local, facts);
         if digest != self.digest {
@@ -237,8 +237,8 @@
     }
 }
 
-/// A sum of a hash of each member's state, so that their order does not matter, and changes that come together do not
-/// cancel each other out.
+/// Returns the sum of the hashes of all members' states. The sum does not depend on their order, and simultaneous
+/// changes do not cancel each other out.
 fn swim_fingerprint<'a>(swim: impl Iterator<Item = &'a Member<Node>>) -> u64 {
     swim.fold(0, |sum: u64, member| {
         let (node, state) = (member.id(), member.state() as u64);
--- a/crates/fleet/src/membership/name_conflicts.rs
+++ b/crates/fleet/src/membership/name_conflicts.rs
@@ -1,26 +1,26 @@
-//! Names that two active members have.
+//! Detects active members that have the same name.
 
 use crate::node::Node;
 use std::collections::BTreeMap;
 
-/// Two active members with one name.
+/// Two active members with the same name.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NameConflict {
-    /// The one that started earlier.
+    /// The member that started earlier.
     pub older: Node,
-    /// The one that started later. It has the name.
+    /// The member that started later and therefore owns the name.
     pub newer: Node,
 }
 
-/// The conflicts that are known.
+/// The known conflicts.
 #[derive(Default)]
 pub(super) struct NameConflicts {
     known: Vec<NameConflict>,
 }
 
 impl NameConflicts {
-    /// Looks for conflicts among the active nodes, and returns those that are new. A conflict counts once both are
-    /// settled: a gateway that has just restarted elsewhere is still active at its old address for a moment.
+    /// Detects conflicts among the active nodes, and returns the new ones. A conflict counts only once both nodes are
+    /// settled, because a gateway that restarted at another address stays active at its old one for a short time.
     pub(super) fn update<'a>(
         &mut self,
         active: impl Iterator<Item = &'a Node>,
@@ -40,7 +40,7 @@
         new
     }
 
-    /// The names in conflict, each once.
+    /// Returns the names in conflict, without duplicates.
     pub(super) fn names(&self) -> Vec<String> {
         let mut names: Vec<String> = self.known.iter().map(|conflict| conflict.older.name.clone()).collect();
         names.dedup();
--- a/crates/fleet/src/membership/rejoin.rs
+++ b/crates/fleet/src/membership/rejoin.rs
@@ -1,20 +1,20 @@
-//! When and where a gateway rejoins its fleet: it asks a seed address or a dead member that should be active.
+//! Schedules rejoin attempts: requests to a seed address or to a dead member, at which there is no active member.
 
 use crate::time::{jittered, Timestamp};
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How often a gateway with active members asks one that is missing, in probe periods.
+/// The interval of rejoin attempts while other members are active, in probe periods.
 const INTERVAL_PROBE_PERIODS: u32 = 5;
-/// The longest pause of a gateway with no active members, in probe periods.
+/// The longest interval of rejoin attempts while no other member is active, in probe periods.
 const MAX_LONE_INTERVAL_PROBE_PERIODS: u32 = 10;
-/// The backoff of a gateway with no active members doubles this many times at the most.
+/// The maximum number of times that the backoff doubles while no other member is active.
 const MAX_BACKOFF_DOUBLINGS: u32 = 8;
 
-/// The attempts to rejoin.
+/// The schedule of rejoin attempts.
 pub(super) struct Rejoin {
     next_attempt_at: Timestamp,
-    /// Attempts in a row with no active members.
+    /// The number of consecutive attempts while no other member was active.
     lone_attempts: u32,
 }
 
@@ -27,13 +27,13 @@
         now >= self.next_attempt_at
     }
 
-    /// The next attempt is made at once.
-    pub(super) fn hasten(&mut self, now: Timestamp) {
+    /// Makes the next attempt due at once.
+    pub(super) fn schedule_now(&mut self, now: Timestamp) {
         self.next_attempt_at = now;
     }
 
-    /// Makes an attempt: sets when the next one is due, and chooses whom to ask now. A gateway with no active members
-    /// asks soon at first, then backs off.
+    /// Schedules the next attempt and returns a random missing address to contact now, if there is one. While no other
+    /// member is active, attempts start at a short interval and back off.
     pub(super) fn attempt(
         &mut self,
         now: Timestamp,
--- a/crates/fleet/src/membership/snapshot.rs
+++ b/crates/fleet/src/membership/snapshot.rs
@@ -1,4 +1,4 @@
-//! The view as operators see it, from the state of membership.
+//! Builds the view that operators see from the state of membership.
 
 use super::dissemination::FactsTable;
 use super::members::{MemberRecord, MemberTable};
@@ -10,7 +10,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// What a view is made of.
+/// The inputs of a view.
 pub(super) struct Snapshot<'a> {
     pub(super) local: &'a Node,
     pub(super) document_version: DocumentVersion,
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Whether a later active member has this one's name.
+    /// Returns whether a more recent active member has the same name.
     fn is_superseded(&self, node: &Node) -> bool {
         let others = self.members.active().map(|record| &record.node);
         let mut same_name = others.chain([self.local]).filter(|other| other.name == node.name);
--- a/crates/fleet/src/membership/swim.rs
+++ b/crates/fleet/src/membership/swim.rs
@@ -1,4 +1,4 @@
-//! SWIM (the crate foca, which does no I/O of its own), with its requests queued until the engine takes them.
+//! Wraps foca, a sans-I/O implementation of SWIM, and queues its messages, timers and notifications.
 
 use super::codec::{names_only, ValidatingCodec};
 use super::config::Config;
@@ -14,9 +14,9 @@
 /// The SWIM protocol of one member.
 pub(super) struct Swim {
     foca: Foca<Node, ValidatingCodec, StdRng, FactsHandler>,
-    /// What foca asks for.
+    /// foca's queued messages, timers and notifications.
     pending: AccumulatingRuntime<Node>,
-    /// The fleet's size for which the parameters were set last.
+    /// The fleet size for which the parameters were last set.
     sized_for: usize,
 }
 
@@ -29,7 +29,7 @@
     }
 
     pub(super) fn handle_timer(&mut self, timer: Timer<Node>) {
-        // Errors report timers that are out of date, which foca handles itself.
+        // Errors only report stale timers, which foca handles itself.
         let _ = self.foca.handle_timer(timer, &mut self.pending);
     }
 
@@ -40,49 +40,49 @@
         })
     }
 
-    /// Whether a message can be read and names only nodes that are known.
+    /// Returns whether a message can be decoded and contains only known nodes.
     pub(super) fn message_names_only(message: &[u8], is_known: impl Fn(&Node) -> bool) -> bool {
         names_only(message, is_known)
     }
 
-    /// Takes over members' states.
+    /// Applies member states.
     pub(super) fn apply(&mut self, members: impl IntoIterator<Item = Member<Node>>) {
-        // It fails only where a member can't be encoded, which decoding has ruled out.
+        // This fails only if a member can't be encoded, and each member was decoded before.
         let _ = self.foca.apply_many(members.into_iter(), true, &mut self.pending);
     }
 
-    /// Goes on under another identity; whether it is another.
+    /// Switches to another identity. Returns whether foca accepted it.
     pub(super) fn change_identity(&mut self, node: Node) -> bool {
         self.foca.change_identity(node, &mut self.pending).is_ok()
     }
 
     /// Broadcasts facts.
     pub(super) fn broadcast(&mut self, facts: &[u8]) {
-        // It fails only where the handler can't decode them, and it decodes what it encoded.
+        // This fails only if the handler can't decode the facts, and this crate encoded them.
         let _ = self.foca.add_broadcast(facts);
     }
 
-    /// Tells a few members that this one leaves.
+    /// Announces to a few members that this one leaves.
     pub(super) fn leave(&mut self) {
-        // There is nothing left to do if this fails.
+        // An error needs no handling, because this member stops in any case.
         let _ = self.foca.leave_cluster(&mut self.pending);
     }
 
-    /// Sets the parameters for a fleet of this size.
+    /// Adapts the parameters to a fleet of this size.
     pub(super) fn resize(&mut self, config: &Config, members: usize) {
         if members != self.sized_for {
             self.sized_for = members;
-            // It fails only where periods change, and they don't.
+            // This fails only if periods change, and they depend only on the configuration.
             let _ = self.foca.set_config(config.swim(members));
         }
     }
 
-    /// The states of all members that SWIM remembers.
+    /// Returns the states of all members that SWIM remembers.
     pub(super) fn members(&self) -> impl ExactSizeIterator<Item = &Member<Node>> {
         self.foca.iter_membership_state()
     }
 
-    /// Takes the next identity under which SWIM went on of itself, since others took the last one for dead.
+    /// Returns the next identity to which foca switched by itself because other members declared the previous one dead.
     pub(super) fn next_renewal(&mut self) -> Option<Node> {
         while let Some(notification) = self.pending.to_notify() {
             if let OwnedNotification::Rejoin(node) = notification {
@@ -92,12 +92,12 @@
         None
     }
 
-    /// Takes the next message to send.
+    /// Returns the next message to send and its destination.
     pub(super) fn next_message(&mut self) -> Option<(Node, Bytes)> {
         self.pending.to_send()
     }
 
-    /// Takes the next timer to set, and after what time it is due.
+    /// Returns the next timer to set and its delay.
     pub(super) fn next_timer(&mut self) -> Option<(Duration, Timer<Node>)> {
         self.pending.to_schedule()
     }
--- a/crates/fleet/src/membership/timers.rs
+++ b/crates/fleet/src/membership/timers.rs
@@ -1,18 +1,18 @@
-//! The timers that are set, in own time. Timers that are due at the same time fire in the order in which they were set.
+//! A queue of timers, in process time. Timers with the same due time fire in the order in which they were set.
 
 use crate::node::Node;
 use crate::time::Timestamp;
 use std::collections::BTreeMap;
 
-/// What a timer is for.
+/// The purpose of a timer.
 pub(super) enum Timer {
-    /// SWIM's.
+    /// A timer of SWIM.
     Swim(foca::Timer<Node>),
-    /// The periodic work of membership itself.
+    /// The periodic work of `housekeeping`.
     Housekeeping,
 }
 
-/// The timers that are set.
+/// The pending timers, by due time and sequence number.
 #[derive(Default)]
 pub(super) struct Timers {
     by_time: BTreeMap<(Timestamp, u64), Timer>,
@@ -25,12 +25,12 @@
         self.by_time.insert((at, self.last_sequence), timer);
     }
 
-    /// When the first one is due.
+    /// Returns when the first timer is due.
     pub(super) fn first_due(&self) -> Option<Timestamp> {
         self.by_time.first_key_value().map(|((at, _), _)| *at)
     }
 
-    /// Takes the first one that is due by now.
+    /// Removes and returns the first timer that is due.
     pub(super) fn pop_due(&mut self, now: Timestamp) -> Option<Timer> {
         self.first_due().filter(|at| *at <= now)?;
         self.by_time.pop_first().map(|(_, timer)| timer)
--- a/crates/fleet/src/node.rs
+++ b/crates/fleet/src/node.rs
@@ -5,45 +5,46 @@
 use std::net::SocketAddr;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The longest name, zone or build, in bytes.
+/// The maximum length of a name, zone or build, in bytes.
 pub const MAX_LABEL_BYTES: usize = 64;
 
-/// One incarnation of a gateway. Two identities compare by their fields in this order.
+/// The identity of one incarnation of a gateway. Identities are ordered by their fields in the order of declaration.
 #[derive(Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Node {
-    /// Its name, the same after a restart.
+    /// The gateway's name, which stays the same after a restart.
     pub name: String,
-    /// The address at which it says that it is reached. A gateway's address map may replace it.
+    /// The announced address. A gateway's address map can replace it by the one at which that gateway reaches it.
     pub address: SocketAddr,
-    /// When this incarnation began, in microseconds of Unix time, or one more than the highest that others knew. Of
-    /// two with the same name and address, the higher one is the later.
+    /// When this incarnation started, in microseconds of Unix time, or one more than the highest incarnation known to
+    /// other members. Of two identities with the same name and address, the one with the higher incarnation is later.
     pub incarnation: u64,
-    /// Its zone.
+    /// The gateway's zone.
     pub zone: String,
-    /// The build it runs.
+    /// The build that the gateway runs.
     pub build: String,
 }
 
 impl Node {
-    /// Whether it has a name, and its labels are printable and short enough to be stored and passed on.
+    /// Returns whether the name is not empty, and all labels are within the length limit for storing and forwarding
+    /// them and have no control characters.
     pub fn is_valid(&self) -> bool {
         let labels = [&self.name, &self.zone, &self.build];
         !self.name.is_empty() && labels.into_iter().all(|label| is_short_text(label, MAX_LABEL_BYTES))
     }
 
-    /// By what the latest of several members with one name is found.
+    /// Returns the sort key by which the latest of several members with the same name is found.
     pub(crate) fn recency(&self) -> (u64, SocketAddr) {
         (self.incarnation, self.address)
     }
 }
 
-/// Whether a text has no control characters and at most so many bytes.
+/// Returns whether a text has at most `max_bytes` bytes and no control characters.
 pub(crate) fn is_short_text(text: &str, max_bytes: usize) -> bool {
     text.len() <= max_bytes && !text.chars().any(char::is_control)
 }
 
-/// What stays the same over the incarnations of a gateway: its address and name. The name is a hash, since foca
-/// compares addresses with those of all members at each message.
+/// The part of an identity that is the same for all incarnations of a gateway: its socket address and name. The name is
+/// stored as a hash, because foca compares an address with those of all members for each message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Address {
     socket: SocketAddr,
@@ -51,7 +52,7 @@
 }
 
 impl Address {
-    /// The address of the gateway with this name at this socket address.
+    /// Creates the address of the gateway with this name at this socket address.
     pub fn new(name: &str, socket: SocketAddr) -> Address {
         Address { socket, name_hash: xxh3_64(name.as_bytes()) }
     }
@@ -64,8 +65,8 @@
 }
 
 impl foca::Identity for Node {
-    /// Two processes with one name are two members, so that they don't declare each other down without end. The view
-    /// says which of them has the name.
+    /// Two processes with the same name at different socket addresses are two members, so that they don't declare each
+    /// other down endlessly. The view shows which of them owns the name.
     type Addr = Address;
 
     fn renew(&self) -> Option<Node> {
@@ -75,7 +76,7 @@
         Address::new(&self.name, self.address)
     }
     fn win_addr_conflict(&self, other: &Node) -> bool {
-        // Name and address are equal here, so that the incarnation decides.
+        // Name and address are equal here, so the incarnation decides.
         self > other
     }
 }
--- a/crates/fleet/src/quota_divisor.rs
+++ b/crates/fleet/src/quota_divisor.rs
@@ -1,48 +1,48 @@
-//! By how many gateways a customer's local quota is divided while the shared counter does not answer.
+//! Computes the number by which a customer's quota is divided among gateways while the shared counter does not answer.
 //!
-//! A customer's requests arrive at a set of S gateways. With n of them active, this one among them, a gateway takes
-//! 1/n of the quota where 2n > S, else 1/S. Whatever each gateway knows of the others, the parts sum to less than
-//! S / (S/2) = 2. Where gateways are partitioned into groups that each agree within themselves, at most one group holds
-//! a majority, so that the parts sum to 1 + (S - n)/S < 1.5.
+//! A customer's requests arrive at a set of S gateways. With n of them active, including this one, a gateway uses 1/n
+//! of the quota if 2n > S, else 1/S. Whatever each gateway knows of the others, the shares sum to less than
+//! S / (S/2) = 2. If the gateways are partitioned into groups with equal views within each group, at most one group has
+//! a majority, so the shares sum to at most 1 + (S - n)/S < 1.5.
 
 use crate::time::Timestamp;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The gateways that count as active for dividing quotas. One that is gone counts for a while longer, so that parts
-/// grow late; one that returns counts at once.
+/// Tracks the gateways that count as active when quotas are divided. A gateway that is gone still counts for the
+/// departure hold, so that quota shares grow late. A gateway that returns counts at once, so that they shrink at once.
 #[derive(Debug)]
 pub struct ActiveGateways {
     /// This gateway's number.
     local: u32,
-    /// How many gateways there are in all.
+    /// The number of all gateways, active or not.
     gateway_count: u32,
-    /// How long a gateway that is gone still counts.
-    hold: Duration,
-    /// When each number was last active.
+    /// How long a gateway that is gone still counts as active.
+    departure_hold: Duration,
+    /// When the gateway with each number was last active.
     last_active: BTreeMap<u32, Timestamp>,
 }
 
 impl ActiveGateways {
-    /// Only the gateway `local` of `gateway_count` is active.
-    pub fn new(local: u32, gateway_count: u32, hold: Duration) -> ActiveGateways {
+    /// Creates the state in which only the gateway number `local` out of `gateway_count` is active.
+    pub fn new(local: u32, gateway_count: u32, departure_hold: Duration) -> ActiveGateways {
         let gateway_count = gateway_count.max(1);
-        ActiveGateways { local, gateway_count, hold, last_active: BTreeMap::new() }
+        ActiveGateways { local, gateway_count, departure_hold, last_active: BTreeMap::new() }
     }
 
-    /// The gateways with these numbers are active now.
+    /// Records that the gateways with these numbers are active now.
     pub fn update(&mut self, now: Timestamp, active: impl IntoIterator<Item = u32>) {
         for number in active {
             self.last_active.insert(number, now);
         }
-        let hold = self.hold;
-        self.last_active.retain(|_, last| now.saturating_duration_since(*last) <= hold);
+        let departure_hold = self.departure_hold;
+        self.last_active.retain(|_, last| now.saturating_duration_since(*last) <= departure_hold);
     }
 
-    /// By how many the quota of a customer is divided whose requests arrive at `spread` gateways from number `first`
-    /// on, modulo the number of gateways.
+    /// Returns the quota divisor of a customer whose requests arrive at `spread` consecutive gateways, starting with
+    /// number `first` and wrapping around at the number of gateways.
     pub fn quota_divisor(&self, first: u32, spread: u32) -> u32 {
-        let numbers = (0..spread).map(|step| (first % self.gateway_count + step) % self.gateway_count);
+        let numbers = (0..spread).map(|offset| (first % self.gateway_count + offset) % self.gateway_count);
         let active = numbers.filter(|number| self.is_active(*number)).count() as u32;
         if 2 * active > spread {
             active
--- a/crates/fleet/src/sim.rs
+++ b/crates/fleet/src/sim.rs
@@ -1,4 +1,4 @@
-//! A simulated network of gateways, for tests and measurements: the same seed gives the same history.
+//! A deterministic simulated network of gateways for tests and measurements. The same seed gives the same history.
 
 use crate::facts::GATEWAY_NUMBER;
 use crate::membership::{Config, Membership, Output};
@@ -10,33 +10,34 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::time::Duration;
 
-/// A second.
+/// One second.
 pub const SECOND: Duration = Duration::from_secs(1);
 
-/// The most datagrams that wait for a stalled process; further ones are lost.
+/// The maximum number of datagrams queued for a stalled gateway; further ones are lost.
 const MAX_WAITING_DATAGRAMS: usize = 200;
-/// How many gateways are the seed addresses of all.
+/// The number of gateways whose addresses are the seed addresses of all gateways.
 const SEED_GATEWAYS: usize = 3;
 const ZONES: usize = 3;
 const BASE_PORT: u16 = 10_000;
-/// The wall clock when a network begins.
+/// The wall clock time at the start of the simulation.
 const WALL_CLOCK_START_MICROS: u64 = 1_700_000_000_000_000;
-/// The longest pause between the starts of two gateways. What all do in step hides what happens in between.
+/// The maximum pause between the starts of two gateways. Random pauses keep the gateways from acting in lockstep, which
+/// would hide interleavings of their actions.
 const MAX_START_PAUSE: Duration = Duration::from_millis(50);
 const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(120);
-/// How often the condition of `run_until` is checked at the most, since a check may cost much.
+/// The minimum interval between checks of `run_until`'s condition, because a check can be expensive.
 const CONDITION_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What the network does to datagrams.
+/// How the network loses, duplicates and delays datagrams.
 #[derive(Clone, Debug)]
 pub struct LinkConditions {
-    /// The share that is lost.
+    /// The share of datagrams that are lost.
     pub loss: f64,
-    /// The share that arrives twice.
+    /// The share of datagrams that arrive twice.
     pub duplication: f64,
-    /// The shortest delay. Each datagram draws its own, so that they overtake each other.
+    /// The minimum delay. Each datagram has its own random delay, so datagrams can arrive out of order.
     pub min_delay: Duration,
-    /// The longest delay.
+    /// The maximum delay.
     pub max_delay: Duration,
 }
 
@@ -51,17 +52,17 @@
     }
 }
 
-/// One gateway of the network.
+/// A gateway of the simulated network.
 pub struct SimulatedGateway {
-    /// Its side of membership; `None`: it is not running.
+    /// Its membership state, or `None` if it is not running.
     pub membership: Option<Membership>,
-    /// The member changes that it reported, and when.
+    /// The member changes that it reported, with the time of each.
     pub changes: Vec<(Timestamp, MemberChange)>,
-    /// What else it reported, and when.
+    /// Its other reports, with the time of each.
     pub reports: Vec<(Timestamp, Output)>,
-    /// How far its wall clock is ahead of the others', in microseconds.
+    /// The offset of its wall clock from the simulation's, in microseconds.
     pub wall_clock_offset_micros: i64,
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: SocketAddr,
     /// Its name.
     pub name: String,
@@ -69,31 +70,32 @@
     waiting: Vec<Vec<u8>>,
 }
 
-/// Called with each output of each gateway, in order: the time, the gateway's index, the output.
+/// A callback for each output of each gateway, in order. Its arguments are the time, the gateway's index and the
+/// output.
 pub type OutputObserver = Box<dyn FnMut(Timestamp, usize, &Output)>;
 
-/// A datagram on its way.
+/// A datagram in flight.
 struct InFlight {
     destination: usize,
     datagram: Vec<u8>,
 }
 
-/// The network.
+/// A simulated network of gateways.
 pub struct SimulatedNetwork {
-    /// Its gateways.
+    /// The gateways by index.
     pub gateways: Vec<SimulatedGateway>,
-    /// What it does to datagrams.
+    /// The current conditions of all links.
     pub conditions: LinkConditions,
     cut_links: HashSet<(usize, usize)>,
-    /// The group of each gateway. Only gateways of one group reach each other.
+    /// The partition group of each gateway. Only gateways of the same group can exchange datagrams.
     groups: Vec<usize>,
     now: Timestamp,
     rng: fastrand::Rng,
     last_sequence: u64,
     in_flight: BTreeMap<(Timestamp, u64), InFlight>,
-    /// The timers of all gateways.
+    /// The next timeout of each gateway, ordered by time.
     timeouts: BTreeSet<(Timestamp, usize)>,
-    /// The timer of each gateway.
+    /// The next timeout of each gateway by index.
     timeout_of: Vec<Option<Timestamp>>,
     by_address: HashMap<SocketAddr, usize>,
     config: Config,
@@ -118,9 +120,10 @@
     }
 }
 
-/// Setting up.
+/// Setup.
 impl SimulatedNetwork {
-    /// So many gateways, none of them running. The first three are the seed addresses.
+    /// Creates a network of `gateways` gateways, none of them running. The addresses of the first three are the seed
+    /// addresses.
     pub fn new(gateways: usize, config: Config, seed: u64) -> SimulatedNetwork {
         let seed_addresses = (0..gateways.min(SEED_GATEWAYS)).map(initial_address).collect();
         SimulatedNetwork {
@@ -141,7 +144,7 @@
         }
     }
 
-    /// So many gateways, all running with equal views, in three zones.
+    /// Creates a network of `gateways` running gateways in three zones, whose views agree.
     pub fn converged(gateways: usize, config: Config, seed: u64) -> SimulatedNetwork {
         let mut network = SimulatedNetwork::new(gateways, config, seed);
         for index in 0..gateways {
@@ -150,19 +153,19 @@
             network.run(Duration::from_micros(pause));
         }
         let converged = network.run_until(CONVERGENCE_TIMEOUT, SimulatedNetwork::views_agree);
-        assert!(converged.is_some(), "views that agree at the start");
+        assert!(converged.is_some(), "the views of all gateways agree after the start");
         network
     }
 
-    /// Shows each output to an observer from here on.
+    /// Calls an observer with each further output.
     pub fn observe(&mut self, observer: OutputObserver) {
         self.observer = Some(observer);
     }
 }
 
-/// What happens to gateways and links.
+/// Operations on gateways and links.
 impl SimulatedNetwork {
-    /// Starts a gateway, or starts it again.
+    /// Starts or restarts a gateway.
     pub fn start(&mut self, index: usize) {
         let gateway = &mut self.gateways[index];
         let wall_clock = WALL_CLOCK_START_MICROS + self.now.as_micros();
@@ -181,19 +184,19 @@
         self.process_outputs(index);
     }
 
-    /// Moves a gateway that is not running to another address.
+    /// Changes the address of a gateway that is not running.
     pub fn move_to(&mut self, index: usize, address: SocketAddr) {
         self.gateways[index].address = address;
         self.by_address.insert(address, index);
     }
 
-    /// Ends a gateway without notice.
+    /// Stops a gateway as a crash does, without announcing it.
     pub fn kill(&mut self, index: usize) {
         self.gateways[index].membership = None;
         self.clear_timeout(index);
     }
 
-    /// Ends a gateway that announces that it leaves.
+    /// Stops a gateway after it announces that it leaves.
     pub fn leave(&mut self, index: usize) {
         let now = self.now;
         self.gateways[index].membership.iter_mut().for_each(|membership| membership.leave(now));
@@ -201,7 +204,7 @@
         self.kill(index);
     }
 
-    /// A gateway acts on this version of the fleet document from now on.
+    /// Sets the version of the fleet document that a gateway acts on.
     pub fn set_document_version(&mut self, index: usize, version: DocumentVersion) {
         let now = self.now;
         let membership = self.gateways[index].membership.iter_mut();
@@ -209,23 +212,23 @@
         self.process_outputs(index);
     }
 
-    /// Stops a gateway's process for so long.
+    /// Suspends a gateway's process for `span`.
     pub fn stall(&mut self, index: usize, span: Duration) {
         self.gateways[index].stalled_until = self.now + span;
         self.set_timeout(index);
     }
 
-    /// Loses all datagrams from one to another, that way only.
+    /// Drops all datagrams from one gateway to another, in that direction only.
     pub fn cut_link(&mut self, from: usize, to: usize) {
         self.cut_links.insert((from, to));
     }
 
-    /// Divides the gateways into groups. Only those of one group reach each other.
+    /// Partitions the gateways into groups. Only gateways of the same group can exchange datagrams.
     pub fn partition(&mut self, group_of: impl Fn(usize) -> usize) {
         self.groups = (0..self.gateways.len()).map(group_of).collect();
     }
 
-    /// Mends all links.
+    /// Restores all links and removes the partition.
     pub fn heal(&mut self) {
         self.cut_links.clear();
         self.groups.fill(0);
@@ -237,20 +240,21 @@
     }
 }
 
-/// What is observed, and the passing of time.
+/// Observation, and the advance of simulated time.
 impl SimulatedNetwork {
-    /// Now, since the network began.
+    /// Returns the simulated time since the start.
     pub fn now(&self) -> Timestamp {
         self.now
     }
 
-    /// The running gateways by index.
+    /// Returns the running gateways with their indices.
     pub fn running(&self) -> impl Iterator<Item = (usize, &Membership)> {
         let gateways = self.gateways.iter().enumerate();
         gateways.filter_map(|(index, gateway)| Some((index, gateway.membership.as_ref()?)))
     }
 
-    /// Whether all running gateways have the same view, in which they are active and no other.
+    /// Returns whether all running gateways have the same view digest, and as many active members as there are running
+    /// gateways.
     pub fn views_agree(&self) -> bool {
         let size = self.running().count();
         let digest = self.running().next().map(|(_, membership)| membership.digest());
@@ -259,13 +263,14 @@
         })
     }
 
-    /// Goes on for so long.
+    /// Runs the simulation for `span`.
     pub fn run(&mut self, span: Duration) {
         let never = self.run_until(span, |_| false);
         debug_assert!(never.is_none());
     }
 
-    /// Goes on until a condition holds; the time that took, or `None` where it did not hold within `span`.
+    /// Runs the simulation until a condition holds. Returns the time until then, or `None` if it did not hold within
+    /// `span`.
     pub fn run_until(
         &mut self,
         span: Duration,
@@ -287,8 +292,8 @@
         }
     }
 
-    /// Delivers the next datagram or fires the next timer; whether there was one until `end`. At the same time,
-    /// datagrams come first.
+    /// Delivers the next datagram or fires the next timeout, and returns whether there was one until `end`. Datagrams
+    /// are handled before timeouts of the same time.
     fn step(&mut self, end: Timestamp) -> bool {
         let timeout = self.timeouts.first().copied();
         let arrival = self.in_flight.first_key_value().map(|((at, _), _)| *at);
@@ -315,7 +320,7 @@
         }
         let waiting = std::mem::take(&mut gateway.waiting);
         if let Some(membership) = &mut gateway.membership {
-            // As a process that goes on: first the timers that are due, then the datagrams that wait.
+            // A process that resumes after a stall also runs its due timers before it reads the waiting datagrams.
             membership.handle_timeout(now);
             waiting.iter().for_each(|datagram| membership.handle_datagram(now, datagram));
         }
--- a/crates/fleet/src/time.rs
+++ b/crates/fleet/src/time.rs
@@ -1,30 +1,30 @@
-//! Time as the state machines of this crate are given it: no clock is read here.
+//! The timestamps that are passed to the state machines of this crate, none of which reads a clock.
 
 use serde::{Serialize, Serializer};
 use std::ops::Add;
 use std::time::Duration;
 
-/// A point on a clock that never goes back, in microseconds.
+/// A point in time on a monotonic clock, in microseconds since the clock's origin.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Timestamp(u64);
 
 impl Timestamp {
-    /// So many microseconds after the clock's origin.
+    /// Creates the timestamp that is this many microseconds after the clock's origin.
     pub const fn from_micros(micros: u64) -> Timestamp {
         Timestamp(micros)
     }
 
-    /// Microseconds since the clock's origin.
+    /// Returns the microseconds since the clock's origin.
     pub const fn as_micros(self) -> u64 {
         self.0
     }
 
-    /// The time from an earlier point to this one; zero where that one is later.
+    /// Returns the time since `earlier`, or zero if `earlier` is later than this timestamp.
     pub fn saturating_duration_since(self, earlier: Timestamp) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
 
-    /// A point earlier by this time, but not before the clock's origin.
+    /// Returns the timestamp earlier by `span`, but at least the clock's origin.
     pub fn saturating_sub(self, span: Duration) -> Timestamp {
         Timestamp(self.0.saturating_sub(micros(span)))
     }
@@ -38,17 +38,17 @@
     }
 }
 
-/// A duration in whole microseconds.
+/// Returns a duration in microseconds, rounded down.
 pub fn micros(span: Duration) -> u64 {
     span.as_micros() as u64
 }
 
-/// Writes a duration as its number of microseconds.
+/// Serializes a duration as its number of microseconds.
 pub(crate) fn serialize_micros<S: Serializer>(span: &Duration, serializer: S) -> Result<S::Ok, S::Error> {
     micros(*span).serialize(serializer)
 }
 
-/// A random duration from half of this one to one and a half of it.
+/// Returns a random duration between 0.5 and 1.5 times `span`.
 pub(crate) fn jittered(rng: &mut fastrand::Rng, span: Duration) -> Duration {
     Duration::from_micros((micros(span) as f64 * (0.5 + rng.f64())) as u64)
 }
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -12,20 +12,20 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MemberState {
-    /// It answers probes.
+    /// The member answers probes.
     #[serde(rename = "present")]
     Alive,
-    /// It did not answer a probe, and has a moment left to refute that it is dead.
+    /// The member did not answer a probe, and still has time to refute before it is declared dead.
     Suspect,
-    /// It announced that it leaves, and left.
+    /// The member announced that it leaves, and left.
     Left,
-    /// It does not answer, or a later incarnation took its place.
+    /// The member does not answer, or a later incarnation replaced it.
     #[serde(rename = "lost")]
     Dead,
 }
 
 impl MemberState {
-    /// It counts as a member of the fleet: it is alive or suspect.
+    /// Returns whether the member is active, that is, alive or suspect.
     pub fn is_active(self) -> bool {
         matches!(self, MemberState::Alive | MemberState::Suspect)
     }
@@ -44,7 +44,7 @@
     /// This gateway, by its own probes.
     #[serde(rename = "here")]
     Local,
-    /// The member of this name, which passed it on.
+    /// The member with this name, which forwarded the change.
     #[serde(rename = "by")]
     Peer(String),
 }
@@ -63,15 +63,15 @@
 pub struct MemberChange {
     /// The member.
     pub node: Node,
-    /// Its state before; `None`: it was not known.
+    /// Its previous state, or `None` if it was not known.
     pub previous: Option<MemberState>,
-    /// Its state now.
+    /// Its new state.
     pub state: MemberState,
     /// Who observed it.
     pub observer: Observer,
 }
 
-/// One member.
+/// A member as it appears in the view.
 #[derive(Clone, Debug, Serialize)]
 pub struct MemberView {
     /// Its identity.
@@ -83,16 +83,16 @@
     /// Who observed that state.
     #[serde(rename = "seen")]
     pub observer: Observer,
-    /// For how long it has been in that state, in microseconds.
+    /// The time since it entered that state. Serialized in microseconds.
     #[serde(rename = "since", serialize_with = "serialize_micros")]
     pub state_age: Duration,
-    /// A later member with its name is active too, and has the name.
+    /// Whether a later active member has the same name and owns it.
     pub superseded: bool,
     /// What it announces about itself.
     pub facts: Facts,
-    /// Whether the last view digest that it sent is this view's; `None`: it sent none lately.
+    /// Whether its last view digest equals this view's, or `None` if it sent none recently.
     pub agrees: Option<bool>,
-    /// The version of the fleet document that it acts on; `None`: it has none.
+    /// The version of the fleet document that it acts on, or `None` if it has no document.
     #[serde(rename = "acts_on")]
     pub document: Option<DocumentPosition>,
 }
@@ -100,52 +100,52 @@
 /// A position in the history of the fleet document.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct DocumentPosition {
-    /// The index of the last entry applied.
+    /// The index of the last applied entry.
     pub index: u64,
-    /// The document's digest there, in hex.
+    /// The digest of the document at that index, in hex.
     pub digest: String,
 }
 
-/// How many members of a zone are in which state.
+/// The number of members of a zone by state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct ZoneView {
-    /// Alive, and not suspect.
+    /// Members that are alive and not suspect.
     #[serde(rename = "present")]
     pub alive: usize,
-    /// Suspect.
+    /// Members that are suspect.
     pub suspect: usize,
-    /// Left or dead.
+    /// Members that left or are dead.
     pub gone: usize,
 }
 
-/// How many members there are.
+/// The number of members by state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct MemberCounts {
-    /// Alive or suspect, this gateway included.
+    /// Members that are alive or suspect, this gateway included.
     pub active: usize,
-    /// Those among them that are suspect.
+    /// Members that are suspect, which are counted in `active` as well.
     pub suspect: usize,
-    /// Left or dead, as long as they are remembered.
+    /// Members that left or are dead, as long as they are remembered.
     pub gone: usize,
 }
 
-/// All that a gateway knows of its fleet.
+/// The fleet as one gateway sees it.
 #[derive(Clone, Debug, Serialize)]
 pub struct View {
     /// This gateway.
     #[serde(rename = "me")]
     pub local: Node,
-    /// Raised with each change of the digest.
+    /// Incremented with each change of the digest.
     pub version: u64,
-    /// Equal wherever the same members are active and have announced the same facts, in hex.
+    /// The view digest, in hex. It is the same on all gateways that have the same active members with the same facts.
     pub digest: String,
-    /// Each member, this gateway included, by name.
+    /// All members, this gateway included, sorted by name.
     pub members: Vec<MemberView>,
-    /// By zone.
+    /// The member counts by zone.
     pub zones: BTreeMap<String, ZoneView>,
-    /// Names that two active members have.
+    /// Names shared by two or more active members.
     #[serde(rename = "claimed_twice")]
     pub conflicting_names: Vec<String>,
-    /// Members whose last view digest, sent lately, is another.
+    /// The number of members whose last recent view digest differs.
     pub disagreeing: usize,
 }
--- a/crates/fleet/src/wire.rs
+++ b/crates/fleet/src/wire.rs
@@ -1,6 +1,7 @@
-//! The datagrams between gateways: an envelope around a SWIM message or rows of the anti-entropy exchange.
+//! The wire format of the datagrams between gateways: an envelope and a payload, which is a SWIM message or part of the
+//! anti-entropy exchange.
 //!
-//! The envelope, big endian:
+//! The layout of the envelope, in big-endian byte order:
 //!
 //! | bytes | field |
 //! | --- | --- |
@@ -11,11 +12,11 @@
 //! | 12..20 | the key of the sender's identity |
 //! | 20..28 | the digest of the sender's view |
 //! | 28..52 | the version of the fleet document that the sender acts on: document, index, digest |
-//! | 52..60 | the latest heartbeat of the document's leader that the sender knows of |
+//! | 52..60 | the latest heartbeat of the document's leader that the sender knows |
 //! | 60..62 | the length of the payload |
 //!
-//! It holds no secret: whoever can send to a gateway's fleet address can forge one. docs/fleet.md bounds what a forged
-//! one can do.
+//! The envelope holds no secret, so anyone who can send to a gateway's fleet address can forge a datagram.
+//! docs/fleet.md describes the bounds of what a forged one can do.
 
 use crate::facts::Facts;
 use crate::node::Node;
@@ -24,11 +25,11 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The longest datagram that is sent or read, in bytes: one that is not fragmented on usual paths.
+/// The maximum length of a sent or accepted datagram, in bytes. Usual network paths don't fragment this length.
 pub const MAX_DATAGRAM_BYTES: usize = 1_400;
 /// The length of the envelope, in bytes.
 pub const ENVELOPE_BYTES: usize = 62;
-/// The longest payload, in bytes.
+/// The maximum length of a payload, in bytes.
 pub const MAX_PAYLOAD_BYTES: usize = MAX_DATAGRAM_BYTES - ENVELOPE_BYTES;
 
 const MAGIC: [u8; 2] = *b"LF";
@@ -44,55 +45,55 @@
 const LEADER_HEARTBEAT_OFFSET: usize = 52;
 const PAYLOAD_LENGTH_OFFSET: usize = 60;
 
-/// What a datagram's payload is.
+/// The kind of a datagram's payload.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
     /// A SWIM message.
     Swim = 0,
     /// A request for all rows; the payload is the sender's identity.
     Pull = 1,
-    /// Rows of the sender's member table, or none: then the envelope alone is the message.
+    /// Rows of the sender's member table. There may be none, where only the envelope carries information.
     Rows = 2,
 }
 
-/// Why a datagram can't be decoded.
+/// Why a datagram could not be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
-    /// It is shorter than an envelope, or longer than any datagram.
-    #[error("{0} bytes are not a datagram's length")]
+    /// The datagram is shorter than the envelope or longer than the maximum.
+    #[error("the datagram has {0} bytes, which is shorter than the envelope or longer than the maximum")]
     Length(usize),
-    /// It does not begin as a datagram does.
-    #[error("the first bytes are not a datagram's")]
+    /// The datagram does not start with the magic bytes.
+    #[error("the datagram does not start with the magic bytes")]
     Magic,
-    /// It is another cluster's.
-    #[error("it is another cluster's")]
+    /// The datagram was sent by a member of another cluster.
+    #[error("the datagram belongs to another cluster")]
     OtherCluster,
-    /// This build does not know its version.
-    #[error("version {0} is unknown")]
+    /// This build does not support the datagram's protocol version.
+    #[error("protocol version {0} is not supported")]
     UnsupportedVersion(u8),
-    /// This build does not know its kind.
-    #[error("kind {0} is unknown")]
+    /// This build does not know the datagram's kind.
+    #[error("datagram kind {0} is unknown")]
     UnknownKind(u8),
-    /// Its payload is not as long as the envelope says.
-    #[error("the payload has {found} bytes, not {expected}")]
+    /// The payload's length differs from that in the envelope.
+    #[error("the payload has {found} bytes, but the envelope declares {expected}")]
     PayloadLength {
-        /// What the envelope says.
+        /// The length in the envelope.
         expected: usize,
-        /// What is there.
+        /// The actual length.
         found: usize,
     },
-    /// A row can't be read.
-    #[error("a row can't be read")]
+    /// A row could not be decoded.
+    #[error("a row could not be decoded")]
     Row,
-    /// A row's node or facts are too long or hold control characters.
+    /// A row's node or facts exceed a limit, contain control characters, or the node's name is empty.
     #[error("a row's node or facts are invalid")]
     InvalidRow,
 }
 
-/// What precedes a payload.
+/// The header that precedes a payload.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Envelope {
-    /// What the payload is.
+    /// The kind of the payload.
     pub kind: Kind,
     /// The hash of the cluster's name.
     pub cluster: u64,
@@ -102,28 +103,28 @@
     pub view_digest: u64,
     /// The version of the fleet document that the sender acts on.
     pub document_version: DocumentVersion,
-    /// The latest heartbeat of that document's leader that the sender knows of; a later one is higher.
+    /// The latest heartbeat of that document's leader that the sender knows; later heartbeats have higher numbers.
     pub leader_heartbeat: u64,
 }
 
-/// One member in the anti-entropy exchange.
+/// A member as sent in the anti-entropy exchange.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Row {
-    /// Its identity and SWIM state.
+    /// The member's identity and SWIM state.
     pub member: Member<Node>,
-    /// What it announced about itself, where that is known.
+    /// The facts that the member announced, if they are known.
     pub facts: Option<Facts>,
 }
 
-/// The hash of a cluster's name.
+/// Returns the hash of a cluster's name.
 pub fn cluster_hash(name: &str) -> u64 {
     xxh3_64(name.as_bytes())
 }
 
-/// The key of an identity: equal for the same name, address and incarnation.
+/// Returns the key of an identity, which is a hash of its name, address and incarnation.
 pub fn identity_key(node: &Node) -> u64 {
     let identity = (&node.name, node.address, node.incarnation);
-    // Strings and numbers can always be encoded.
+    // Encoding strings and numbers can't fail.
     postcard::to_allocvec(&identity).map_or(0, |bytes| xxh3_64(&bytes))
 }
 
@@ -139,7 +140,7 @@
 }
 
 impl Envelope {
-    /// A datagram with this payload.
+    /// Encodes a datagram with this envelope and payload.
     pub fn encode(&self, payload: &[u8]) -> Vec<u8> {
         let DocumentVersion { document, index, digest } = self.document_version;
         let fields =
@@ -153,7 +154,7 @@
         bytes
     }
 
-    /// The envelope and payload of a datagram of this cluster.
+    /// Decodes the envelope of a datagram of this cluster, and returns it with the payload.
     pub fn decode(bytes: &[u8], own_cluster: u64) -> Result<(Envelope, &[u8]), DecodeError> {
         if bytes.len() < ENVELOPE_BYTES || bytes.len() > MAX_DATAGRAM_BYTES {
             return Err(DecodeError::Length(bytes.len()));
@@ -196,7 +197,7 @@
     u64::from_be_bytes(field)
 }
 
-/// Rows as payloads, as many in each as fit. A row that fits in none is left out.
+/// Encodes rows into payloads, with as many rows in each as fit. A row longer than a payload is omitted.
 pub fn encode_rows(rows: impl Iterator<Item = Row>) -> Vec<Vec<u8>> {
     let mut payloads: Vec<Vec<u8>> = Vec::new();
     for row in rows {
@@ -210,7 +211,7 @@
     payloads
 }
 
-/// The rows of a payload: all of them, or none where one is invalid.
+/// Decodes all rows of a payload, or returns an error if any row is invalid.
 pub fn decode_rows(mut payload: &[u8]) -> Result<Vec<Row>, DecodeError> {
     let mut rows = Vec::new();
     while !payload.is_empty() {
--- a/crates/fleet/tests/membership.rs
+++ b/crates/fleet/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Membership over a simulated network: what the gateways know of each other while parts fail, from fixed seeds.
+//! Tests membership over a simulated network with fixed seeds, under failures of gateways, links and clocks.
 
 use lanespan_fleet::facts::Facts;
 use lanespan_fleet::membership::{Config, DropReason, Membership, Output};
@@ -26,10 +26,10 @@
 }
 
 fn membership(network: &SimulatedNetwork, index: usize) -> &Membership {
-    network.gateways[index].membership.as_ref().expect("it runs")
+    network.gateways[index].membership.as_ref().expect("the gateway is running")
 }
 
-/// The state of gateway `of` in the view of gateway `at`.
+/// Returns the state of gateway `of` in the view of gateway `at`.
 fn state(network: &SimulatedNetwork, at: usize, of: usize) -> Option<MemberState> {
     let view = membership(network, at).view();
     let name = &network.gateways[of].name;
@@ -37,9 +37,9 @@
     members.max_by_key(|member| member.node.incarnation).map(|member| member.state)
 }
 
-/// Whether gateway `of` is in this state in the view of each running gateway.
-fn all_see(network: &SimulatedNetwork, of: usize, wanted: MemberState) -> bool {
-    network.running().all(|(at, _)| state(network, at, of) == Some(wanted))
+/// Returns whether gateway `of` has the expected state in the views of all running gateways.
+fn all_report_state(network: &SimulatedNetwork, of: usize, expected: MemberState) -> bool {
+    network.running().all(|(at, _)| state(network, at, of) == Some(expected))
 }
 
 fn all_agree_within(network: &mut SimulatedNetwork, span: Duration) -> bool {
@@ -59,58 +59,65 @@
 }
 
 #[test]
-fn a_fleet_joins_by_seed_addresses_and_a_lone_gateway_backs_off() {
+fn lone_gateway_backs_off_and_fleet_joins_through_seed_addresses() {
     let mut network = SimulatedNetwork::new(12, config(), 1);
     network.start(3);
     network.run(60 * SECOND);
     let alone = MemberCounts { active: 1, suspect: 0, gone: 0 };
     assert_eq!(membership(&network, 3).member_counts(), alone);
     let requests = membership(&network, 3).counters().datagrams_sent;
-    assert!((5..20).contains(&requests), "it backs off: {requests}");
+    assert!((5..20).contains(&requests), "a lone gateway backs off, sent {requests} datagrams");
     (0..12).filter(|i| *i != 3).for_each(|i| network.start(i));
     assert!(all_agree_within(&mut network, 30 * SECOND));
     let view = membership(&network, 3).view();
     assert_eq!(view.zones["z0"].alive, 4);
-    assert_eq!(membership(&network, 3).gateway_numbers().len(), 12, "facts came with the members");
+    assert_eq!(
+        membership(&network, 3).gateway_numbers().len(),
+        12,
+        "the exchange includes the members' facts"
+    );
     network.run(10 * SECOND);
     assert_eq!(membership(&network, 3).view().disagreeing, 0);
 }
 
 #[test]
-fn a_crashed_member_is_dead_and_a_leaving_one_has_left_each_with_its_observer() {
+fn crash_and_leave_are_reported_with_state_and_observer() {
     let mut network = SimulatedNetwork::converged(12, config(), 2);
     network.kill(5);
     network.leave(7);
-    let left = network.run_until(5 * SECOND, |network| all_see(network, 7, MemberState::Left));
-    assert!(left.is_some(), "a leave is known soon");
+    let left = network.run_until(5 * SECOND, |network| all_report_state(network, 7, MemberState::Left));
+    assert!(left.is_some(), "all members know of a leave within 5 s");
     assert!(all_agree_within(&mut network, 30 * SECOND));
-    assert!(all_see(&network, 5, MemberState::Dead));
+    assert!(all_report_state(&network, 5, MemberState::Dead));
     let first_suspicions = network.gateways.iter().filter_map(|gateway| {
         let mut changes = gateway.changes.iter();
         changes.find(|(_, change)| change.node.name == "g5" && change.state == MemberState::Suspect)
     });
-    let (_, first) = first_suspicions.min_by_key(|(at, _)| *at).expect("suspected before it is dead");
-    assert_eq!(first.observer, Observer::Local, "the first to suspect it probed it");
-    let learnt_from_peer = |gateway: &SimulatedGateway| {
+    let (_, first) =
+        first_suspicions.min_by_key(|(at, _)| *at).expect("g5 was suspected before it was declared dead");
+    assert_eq!(first.observer, Observer::Local, "the first member to suspect g5 probed it itself");
+    let learned_from_peer = |gateway: &SimulatedGateway| {
         let mut changes = gateway.changes.iter().filter(|(_, change)| change.node.name == "g5");
         changes.any(|(_, change)| matches!(&change.observer, Observer::Peer(_)))
     };
-    assert!(network.gateways.iter().any(learnt_from_peer), "others learnt it from peers");
+    assert!(network.gateways.iter().any(learned_from_peer), "other members learned of it from peers");
 }
 
+/// Single failed links must not cause deaths, because other members probe and forward indirectly. A member from which
+/// no other receives anything must be declared dead by all of them.
 #[test]
-fn views_agree_despite_one_way_links_and_a_member_that_nobody_hears_is_dead_until_it_is_heard() {
+fn one_way_link_failures_keep_views_equal_and_unreceived_member_is_dead_until_heal() {
     let mut network = SimulatedNetwork::converged(12, config(), 3);
     for i in [1, 2, 3] {
         network.cut_link(0, i);
         network.cut_link(i + 3, 0);
     }
     network.run(60 * SECOND);
-    assert!(network.views_agree(), "others pass on what a link does not");
+    assert!(network.views_agree(), "other members forward what a cut link drops");
     let mut changes = network.gateways.iter().flat_map(|gateway| &gateway.changes);
     assert!(changes.all(|(_, change)| change.state != MemberState::Dead));
     network.heal();
-    // It receives from all, and none receives from it.
+    // Gateway 0 still receives from all others, but none of them receives from it.
     (1..12).for_each(|i| network.cut_link(0, i));
     let is_dead =
         |network: &SimulatedNetwork| (1..12).all(|at| state(network, at, 0) == Some(MemberState::Dead));
@@ -119,8 +126,10 @@
     assert!(all_agree_within(&mut network, 60 * SECOND));
 }
 
+/// When a partition heals, each part has declared the other's members dead. If those states were applied directly, a
+/// part would lose its own members.
 #[test]
-fn partitions_in_two_and_three_heal_into_one_view_without_members_dying_again() {
+fn partitions_heal_into_one_view_without_deaths_within_a_part() {
     for (seed, parts) in [(4, 2), (5, 3)] {
         let mut network = SimulatedNetwork::converged(12, config(), seed);
         network.partition(|i| i % parts);
@@ -133,8 +142,8 @@
         network.heal();
         assert!(all_agree_within(&mut network, 90 * SECOND), "{parts} parts");
         network.run(30 * SECOND);
-        assert!(network.views_agree(), "and stay one");
-        // Nobody loses a member of its own part on the way.
+        assert!(network.views_agree(), "the views stay equal after the partition healed");
+        // No gateway declares a member of its own part dead while the partition heals.
         for (i, gateway) in network.gateways.iter().enumerate() {
             let is_own =
                 |name: &str| name[1..].parse::<usize>().is_ok_and(|other| other % parts == i % parts);
@@ -147,7 +156,7 @@
 }
 
 #[test]
-fn loss_delay_and_duplication_kill_few_members_and_none_for_good() {
+fn loss_delay_and_duplication_cause_few_false_deaths_and_views_reconverge() {
     let mut network = SimulatedNetwork::converged(12, config(), 6);
     network.conditions = LinkConditions {
         loss: 0.3,
@@ -160,19 +169,17 @@
     let dead =
         changes.filter(|(_, change)| change.state == MemberState::Dead).map(|(_, change)| &change.node);
     let dead: BTreeSet<_> = dead.collect();
-    assert!(
-        dead.len() <= 3,
-        "few are taken for dead in 1,440 probes with three in ten datagrams lost: {dead:?}"
-    );
+    assert!(dead.len() <= 3, "few members are declared dead in 1,440 probes with a loss of 30 %: {dead:?}");
     network.kill(4);
-    let dead = network.run_until(60 * SECOND, |network| all_see(network, 4, MemberState::Dead));
-    assert!(dead.is_some(), "a crash is known all the same");
+    let dead = network.run_until(60 * SECOND, |network| all_report_state(network, 4, MemberState::Dead));
+    assert!(dead.is_some(), "a crash is detected despite the loss");
     network.conditions = LinkConditions::default();
     assert!(all_agree_within(&mut network, 60 * SECOND));
 }
 
+/// After a stall all timers of a gateway are due at once, and running them would declare all other members dead.
 #[test]
-fn a_stalled_gateway_takes_nobody_for_dead_and_returns_as_a_new_incarnation() {
+fn stalled_gateway_declares_no_member_dead_and_renews_its_incarnation() {
     let mut network = SimulatedNetwork::converged(12, config(), 7);
     let before = membership(&network, 2).local().incarnation;
     let from = network.now();
@@ -184,11 +191,11 @@
     assert_eq!(membership(&network, 2).counters().stalls, 1);
     assert!(network.gateways[2].reports.iter().any(|(_, report)| is_renewal(report)));
     let gone = network.gateways[2].changes.iter().filter(|(at, c)| *at > from && !c.state.is_active());
-    assert_eq!(gone.count(), 0, "its own timers did not run during the stall");
+    assert_eq!(gone.count(), 0, "the timers of the stalled gateway did not run during the stall");
 }
 
 #[test]
-fn seven_in_ten_killed_at_once_are_dead_and_all_may_be_restarted_in_turn() {
+fn views_converge_after_mass_crash_and_rolling_restart() {
     let mut network = SimulatedNetwork::converged(30, config(), 8);
     (0..21).for_each(|i| network.kill(i));
     assert!(all_agree_within(&mut network, 120 * SECOND));
@@ -204,16 +211,22 @@
     assert!(network.running().all(|(_, p)| p.view().conflicting_names.is_empty()));
 }
 
+/// The clock of a restarted gateway may be behind the incarnation that others know, and its address may be another.
+/// Neither must leave it with an outdated incarnation or a name conflict.
 #[test]
-fn a_gateway_restarted_with_its_clock_set_back_or_at_another_address_has_its_name_again() {
+fn restart_with_clock_set_back_or_new_address_keeps_the_name() {
     let mut network = SimulatedNetwork::converged(12, config(), 9);
     network.kill(3);
     network.gateways[3].wall_clock_offset_micros = -HOUR_MICROS;
     let before = membership(&network, 0).view();
-    let old = before.members.iter().find(|row| row.node.name == "g3").expect("known").node.incarnation;
+    let old =
+        before.members.iter().find(|row| row.node.name == "g3").expect("g3 is in the view").node.incarnation;
     network.start(3);
     assert!(all_agree_within(&mut network, 60 * SECOND));
-    assert!(membership(&network, 3).local().incarnation > old, "no old state comes back with it");
+    assert!(
+        membership(&network, 3).local().incarnation > old,
+        "the new incarnation exceeds the one known before"
+    );
     network.kill(4);
     let moved = SocketAddr::from(([127, 0, 0, 1], 20_004));
     network.move_to(4, moved);
@@ -231,7 +244,7 @@
 }
 
 #[test]
-fn a_name_conflict_is_reported_once_at_both_members_and_neither_is_declared_dead() {
+fn name_conflict_is_reported_once_by_both_members_and_neither_is_declared_dead() {
     let mut network = SimulatedNetwork::converged(6, config(), 10);
     network.kill(5);
     network.run(30 * SECOND);
@@ -241,14 +254,14 @@
     for i in [2, 5] {
         let reports = &network.gateways[i].reports;
         let conflicts = reports.iter().filter(|(_, report)| is_name_conflict(report));
-        assert_eq!(conflicts.count(), 1, "g{i} reports it once");
+        assert_eq!(conflicts.count(), 1, "g{i} reports the conflict once");
         assert_eq!(membership(&network, i).view().conflicting_names, ["g2"]);
         let renewed = reports.iter().any(|(_, report)| is_renewal(report));
         assert!(!renewed, "neither declares the other dead");
     }
     let rows = membership(&network, 0).view().members;
     let superseded: Vec<_> = rows.iter().filter(|row| row.superseded).map(|row| row.node.address).collect();
-    assert_eq!(superseded, [network.gateways[2].address], "the later start has the name");
+    assert_eq!(superseded, [network.gateways[2].address], "the member that started later owns the name");
     network.kill(5);
     let is_resolved = |network: &SimulatedNetwork| {
         network.running().all(|(_, membership)| membership.view().conflicting_names.is_empty())
@@ -258,7 +271,7 @@
 }
 
 #[test]
-fn a_datagram_of_another_cluster_is_dropped_and_counted() {
+fn datagram_of_another_cluster_is_dropped_and_counted() {
     let mut network = SimulatedNetwork::converged(3, config(), 11);
     let before = dropped(&network, DropReason::OtherCluster);
     let digest = membership(&network, 0).digest();
@@ -270,11 +283,14 @@
 }
 
 #[test]
-fn forged_members_are_bounded_and_forgotten_and_exchanges_in_a_loop_are_rate_limited() {
+fn forged_members_are_bounded_and_forgotten_and_exchange_requests_are_rate_limited() {
     let mut network = SimulatedNetwork::converged(3, Config { retention: 30 * SECOND, ..config() }, 12);
     for i in 0..5_000u32 {
-        let node = nobody(&format!("forged-{i}"), 1 + i as u16);
-        network.inject(0, &datagram(Kind::Pull, &postcard::to_allocvec(&node).expect("bytes")));
+        let node = unreachable_node(&format!("forged-{i}"), 1 + i as u16);
+        network.inject(
+            0,
+            &datagram(Kind::Pull, &postcard::to_allocvec(&node).expect("the value can be encoded")),
+        );
         if i % 100 == 0 {
             network.run(SECOND / 2);
         }
@@ -283,12 +299,16 @@
     assert!(view.members.len() <= MAX_MEMBERS + 1, "{}", view.members.len());
     assert!(dropped(&network, DropReason::RateLimited) > 0, "{:?}", membership(&network, 0).counters());
     network.run(10 * 60 * SECOND);
-    assert!(network.views_agree(), "they did not answer and are gone");
-    assert_eq!(membership(&network, 0).view().members.len(), 3, "and forgotten");
+    assert!(network.views_agree(), "forged members did not answer and are no longer active");
+    assert_eq!(
+        membership(&network, 0).view().members.len(),
+        3,
+        "forged members are forgotten after the retention"
+    );
 }
 
-/// A gateway's identity, with nobody behind it.
-fn nobody(name: &str, port: u16) -> Node {
+/// Returns the identity of a gateway that does not exist.
+fn unreachable_node(name: &str, port: u16) -> Node {
     let address = SocketAddr::from(([127, 0, 0, 9], port));
     Node { name: name.into(), address, incarnation: 1, zone: "z".into(), build: "b".into() }
 }
@@ -302,28 +322,37 @@
     envelope(kind, wire::cluster_hash("test"), 1, 0).encode(payload)
 }
 
+/// A peer declares a member dead that is alive in this view but never answers. The dispute must settle this sooner than
+/// probes could, which take turns among 15 such members.
 #[test]
-fn a_member_that_a_peer_declares_dead_and_that_does_not_refute_is_dead_soon() {
+fn disputed_member_that_does_not_refute_is_declared_dead_after_the_timeout() {
     let mut network = SimulatedNetwork::converged(1, config(), 16);
     for i in 0..15 {
-        let asks = postcard::to_allocvec(&nobody(&format!("n{i}"), 100 + i)).expect("bytes");
-        network.inject(0, &datagram(Kind::Pull, &asks));
+        let request = postcard::to_allocvec(&unreachable_node(&format!("n{i}"), 100 + i))
+            .expect("the value can be encoded");
+        network.inject(0, &datagram(Kind::Pull, &request));
     }
-    let down = Row { member: foca::Member::down(nobody("n7", 107)), facts: None };
-    network.inject(0, &datagram(Kind::Rows, &postcard::to_allocvec(&down).expect("bytes")));
+    let down = Row { member: foca::Member::down(unreachable_node("n7", 107)), facts: None };
+    network
+        .inject(0, &datagram(Kind::Rows, &postcard::to_allocvec(&down).expect("the value can be encoded")));
     network.run(SECOND / 10);
     let dead = |network: &SimulatedNetwork| {
         let members = membership(network, 0).view().members.into_iter();
         let dead = members.filter(|member| member.state == MemberState::Dead);
         dead.map(|member| member.node.name).collect::<Vec<_>>()
     };
-    assert!(dead(&network).is_empty(), "it has a moment to refute");
+    assert!(dead(&network).is_empty(), "the disputed member has time to refute");
     network.run(6 * SECOND);
-    assert_eq!(dead(&network), ["n7"], "probes alone would not have come to all yet");
+    assert_eq!(
+        dead(&network),
+        ["n7"],
+        "only the dispute can have declared n7 dead: probes have not reached all 15 members yet"
+    );
 }
 
+/// A message may have a name with control characters, or facts about the receiving gateway that it did not announce.
 #[test]
-fn a_message_with_invalid_names_or_with_this_gateways_own_facts_changes_nothing() {
+fn messages_with_invalid_names_or_forged_local_facts_change_nothing() {
     let mut network = SimulatedNetwork::converged(2, config(), 17);
     let dst = membership(&network, 0).local().clone();
     let swim = |src: Node, rest: &[u8]| {
@@ -333,27 +362,32 @@
             dst: dst.clone(),
             message: foca::Message::<Node>::Gossip,
         };
-        datagram(Kind::Swim, &[&postcard::to_allocvec(&header).expect("bytes")[..], rest].concat())
+        datagram(
+            Kind::Swim,
+            &[&postcard::to_allocvec(&header).expect("the value can be encoded")[..], rest].concat(),
+        )
     };
-    network.inject(0, &swim(nobody("two\nlines", 1), &[]));
+    network.inject(0, &swim(unreachable_node("two\nlines", 1), &[]));
     assert_eq!(membership(&network, 0).view().members.len(), 2);
     assert_eq!(dropped(&network, DropReason::Malformed), 1);
-    let member = postcard::to_allocvec(&foca::Member::alive(nobody("two\nlines", 1))).expect("bytes");
+    let member = postcard::to_allocvec(&foca::Member::alive(unreachable_node("two\nlines", 1)))
+        .expect("the value can be encoded");
     network.inject(0, &swim(membership(&network, 1).local().clone(), &[&[0, 1][..], &member].concat()));
     assert_eq!(membership(&network, 0).view().members.len(), 2);
     assert_eq!(dropped(&network, DropReason::Malformed), 2);
     let values = BTreeMap::from([("ready".to_string(), "never".to_string())]);
     let facts = Facts { version: 9, values };
-    let item = postcard::to_allocvec(&((&dst.name, dst.address), dst.incarnation, facts)).expect("bytes");
+    let item = postcard::to_allocvec(&((&dst.name, dst.address), dst.incarnation, facts))
+        .expect("the value can be encoded");
     let rest = [&[0, 0][..], &(item.len() as u16).to_be_bytes(), &item].concat();
     network.inject(0, &swim(membership(&network, 1).local().clone(), &rest));
-    assert_eq!(dropped(&network, DropReason::Malformed), 2, "it was read");
+    assert_eq!(dropped(&network, DropReason::Malformed), 2, "the message was decoded and not dropped");
     let view = membership(&network, 0).view();
     assert!(view.members.iter().all(|row| !row.facts.values.contains_key("ready")));
 }
 
 #[test]
-fn one_seed_gives_one_history() {
+fn same_seed_gives_same_history() {
     let history = |seed| {
         let mut network = SimulatedNetwork::converged(12, config(), seed);
         network.conditions.loss = 0.1;
@@ -369,9 +403,10 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 64, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever arrives, whole or as a torn, flipped, replayed or doubled datagram of the fleet's own, breaks nothing.
+    /// Untrusted input must not cause a panic or unbounded state: random bytes, random payloads in a valid envelope,
+    /// and valid datagrams of the fleet that are duplicated, truncated or corrupted.
     #[test]
-    fn no_datagram_breaks_a_gateway_or_overfills_its_member_table(
+    fn arbitrary_datagrams_neither_break_a_gateway_nor_overfill_its_member_table(
         noise in prop::collection::vec(any::<u8>(), 0..1500),
         kind in 0u8..4,
         cut in 0usize..400,
@@ -384,7 +419,7 @@
         let wrapped = envelope(kind, cluster, sender, 3).encode(&noise[..noise.len().min(1300)]);
         network.inject(0, &noise);
         network.inject(0, &wrapped);
-        // One of its own that was overheard.
+        // A valid datagram of another gateway, captured from its outputs.
         let local = membership(&network, 1).local().clone();
         let seed_addresses = vec![network.gateways[0].address];
         let config = Config { seed_addresses, ..config() };
@@ -393,13 +428,13 @@
         let sent = own.poll_outputs().into_iter().find_map(|output| match output {
             Output::Send { datagram, .. } => Some(datagram),
             _ => None,
-        }).expect("it asks its seed address");
-        let mut torn = sent.clone();
-        torn.truncate(cut.min(sent.len()));
-        let mut flipped = sent.clone();
-        let at = flip.0 % flipped.len();
-        flipped[at] ^= flip.1;
-        for bytes in [&sent, &sent, &torn, &flipped] {
+        }).expect("the gateway sends a request to its seed address");
+        let mut truncated = sent.clone();
+        truncated.truncate(cut.min(sent.len()));
+        let mut corrupted = sent.clone();
+        let at = flip.0 % corrupted.len();
+        corrupted[at] ^= flip.1;
+        for bytes in [&sent, &sent, &truncated, &corrupted] {
             network.inject(0, bytes);
         }
         prop_assert!(membership(&network, 0).view().members.len() <= MAX_MEMBERS);
