--- a/crates/fleet/src/membership.rs
+++ b/crates/fleet/src/membership.rs
@@ -384,7 +384,7 @@
 
 /// Integration with SWIM, and sending.
 impl Membership {
-    /// Applies member states received from `observer`.
+    /// Applies member states that `observer` reported.
     fn apply(&mut self, members: impl IntoIterator<Item = Member<Node>>, observer: &Observer) {
         self.swim.apply(members);
         self.process_swim(observer);
--- a/crates/fleet/tests/membership_fixtures.rs
+++ b/crates/fleet/tests/membership_fixtures.rs
@@ -347,7 +347,7 @@
         let members = views.iter().flat_map(|view| view["members"].as_array().cloned().unwrap_or_default());
         members.map(|member| member[path].to_string()).collect::<BTreeSet<_>>()
     };
-    let standings = ["left", "lost", "present", "suspect"].map(|word| format!("\"{word}\""));
+    let standings = ["left", "lost", "present", "suspect"].map(|standing| format!("\"{standing}\""));
     assert_eq!(
         values("standing").into_iter().collect::<Vec<_>>(),
         standings,
