--- a/crates/gateway/src/backend.rs
+++ b/crates/gateway/src/backend.rs
@@ -18,7 +18,7 @@
 
 pub use attempt::{attempt, AttemptParams};
 pub use attempt_end::AttemptEnd;
-pub use forward::{strip_hop_by_hop, Forward, Payload};
+pub use forward::{strip_hop_by_hop, ForwardedRequest, Payload};
 
 #[cfg(test)]
 mod tests;
--- a/crates/gateway/src/backend/attempt.rs
+++ b/crates/gateway/src/backend/attempt.rs
@@ -2,7 +2,7 @@
 
 use super::attempt_end::AttemptEnd;
 use super::exchange::Exchange;
-use super::forward::Forward;
+use super::forward::ForwardedRequest;
 use super::outcome;
 use super::send_progress::SendProgress;
 use crate::pool::{Backend, Pool};
@@ -34,7 +34,7 @@
     pool: &Rc<Pool>,
     streams: &StreamLimits,
     backend: &Backend,
-    request: &Forward,
+    request: &ForwardedRequest,
     params: AttemptParams,
 ) -> AttemptEnd {
     let AttemptParams { index, give_up_at, begin_by, cancelled, request_open } = params;
@@ -65,19 +65,19 @@
 
 /// Waits until the time of an attempt is over: at `give_up_at`, or where it alone can carry an upload, once that
 /// stalls.
-async fn time_limit(streams: &StreamLimits, request: &Forward, index: usize, give_up_at: Instant) {
+async fn time_limit(streams: &StreamLimits, request: &ForwardedRequest, index: usize, give_up_at: Instant) {
     let (Some(upload), Some(settings)) = (request.body.upload(), streams.last_settings()) else {
         return sleep_until(give_up_at).await;
     };
     tokio::select! {
         biased;
-        () = upload.bound_to(index) => upload.backend_time_limit(&settings).await,
+        () = upload.wait_until_bound_to(index) => upload.backend_time_limit(&settings).await,
         () = sleep_until(give_up_at) => {}
     }
 }
 
 /// The outcome of an attempt whose time is over.
-fn timed_out(pool: &Pool, backend: &Backend, request: &Forward, progress: &SendProgress) -> Outcome {
+fn timed_out(pool: &Pool, backend: &Backend, request: &ForwardedRequest, progress: &SendProgress) -> Outcome {
     if progress.is_upload_partial() {
         return outcome::of_partial_upload(request);
     }
--- a/crates/gateway/src/backend/exchange.rs
+++ b/crates/gateway/src/backend/exchange.rs
@@ -1,7 +1,7 @@
 //! The steps of one attempt: a connection, the request, and as much of the response as the attempt waits for.
 
 use super::attempt_end::AttemptEnd;
-use super::forward::{Forward, Payload};
+use super::forward::{ForwardedRequest, Payload};
 use super::outcome;
 use super::send_progress::SendProgress;
 use crate::http::{CallError, Connection, ReceivedResponse, RequestBody};
@@ -25,7 +25,7 @@
     pub(super) pool: &'a Rc<Pool>,
     pub(super) streams: &'a StreamLimits,
     pub(super) backend: &'a Backend,
-    pub(super) request: &'a Forward,
+    pub(super) request: &'a ForwardedRequest,
     pub(super) index: usize,
     pub(super) give_up_at: Instant,
     pub(super) begin_by: Instant,
--- a/crates/gateway/src/backend/forward.rs
+++ b/crates/gateway/src/backend/forward.rs
@@ -24,7 +24,7 @@
 
 /// A client's request as it is forwarded to backends.
 #[derive(Debug)]
-pub struct Forward {
+pub struct ForwardedRequest {
     /// Its method.
     pub method: Method,
     /// Its path and query.
@@ -56,7 +56,7 @@
     }
 }
 
-impl Forward {
+impl ForwardedRequest {
     /// The request of one attempt. Its budget tells the backend how long this gateway waits.
     pub(super) fn request(&self, give_up_at: Instant, body: RequestBody) -> Request<RequestBody> {
         let mut request = Request::new(body);
--- a/crates/gateway/src/backend/outcome.rs
+++ b/crates/gateway/src/backend/outcome.rs
@@ -1,7 +1,7 @@
 //! The outcome of an attempt, from what came back or did not.
 
 use super::attempt_end::AttemptEnd;
-use super::forward::Forward;
+use super::forward::ForwardedRequest;
 use crate::names::Headers;
 use crate::pool::CheckoutError;
 use crate::relay::ServedBody;
@@ -20,7 +20,7 @@
 
 /// The outcome of an attempt whose upload did not reach its backend completely: it never ran. Where the client is
 /// the one waited for, the backend is not at fault.
-pub(super) fn of_partial_upload(request: &Forward) -> Outcome {
+pub(super) fn of_partial_upload(request: &ForwardedRequest) -> Outcome {
     match request.body.upload().is_some_and(|upload| upload.awaits_client()) {
         true => Outcome::NotSent,
         false => Outcome::ConnectFailed,
--- a/crates/gateway/src/driver/attempts.rs
+++ b/crates/gateway/src/driver/attempts.rs
@@ -2,7 +2,7 @@
 
 use super::events::{DriverEvent, DriverSender};
 use super::request_table::StartedAttempt;
-use crate::backend::{attempt, AttemptParams, Forward};
+use crate::backend::{attempt, AttemptParams, ForwardedRequest};
 use crate::clock::Clock;
 use crate::pool::{Backend, Pool};
 use crate::relay::StreamLimits;
@@ -74,9 +74,9 @@
 }
 
 /// Completes once only this attempt can carry the request's upload; never completes for a request without an upload.
-async fn upload_committed(forward: &Forward, index: usize) {
+async fn upload_committed(forward: &ForwardedRequest, index: usize) {
     match forward.body.upload() {
-        Some(upload) => upload.bound_to(index).await,
+        Some(upload) => upload.wait_until_bound_to(index).await,
         None => std::future::pending().await,
     }
 }
--- a/crates/gateway/src/driver/events.rs
+++ b/crates/gateway/src/driver/events.rs
@@ -1,6 +1,6 @@
 //! The driver's interface: the events that it handles, and its answers to requests and operators' queries.
 
-use crate::backend::{AttemptEnd, Forward};
+use crate::backend::{AttemptEnd, ForwardedRequest};
 use crate::config::EndpointList;
 use crate::counter::CounterReply;
 use crate::relay::ServedBody;
@@ -31,7 +31,7 @@
     /// When the request was accepted.
     pub accepted_at: Micros,
     /// The request to forward to a backend.
-    pub forward: Forward,
+    pub forward: ForwardedRequest,
     /// Receives the final answer.
     pub reply: oneshot::Sender<FinalAnswer>,
 }
--- a/crates/gateway/src/driver/request_table.rs
+++ b/crates/gateway/src/driver/request_table.rs
@@ -4,7 +4,7 @@
 //! and later callers find none. A request is removed once it is closed and none of its attempts is running.
 
 use super::events::{AcceptedRequest, FinalAnswer};
-use crate::backend::{AttemptEnd, Forward};
+use crate::backend::{AttemptEnd, ForwardedRequest};
 use crate::relay::ServedBody;
 use lanespan_policy::{
     Arrival, AttemptResult, BackendId, ClassId, LoadReport, Micros, Outcome, PlanId, RequestId,
@@ -26,7 +26,7 @@
     /// Its index among the request's attempts, from 0.
     pub(super) index: usize,
     /// The request to forward.
-    pub(super) forward: Rc<Forward>,
+    pub(super) forward: Rc<ForwardedRequest>,
     /// Resolves when the attempt is cancelled.
     pub(super) cancelled: oneshot::Receiver<()>,
     /// Whether the request still awaits its final answer.
@@ -76,7 +76,7 @@
     reply: Option<oneshot::Sender<FinalAnswer>>,
     /// Signals to the attempts whether the request still awaits its answer.
     open: watch::Sender<bool>,
-    forward: Rc<Forward>,
+    forward: Rc<ForwardedRequest>,
     attempts: Vec<AttemptEntry>,
     origin: RequestOrigin,
 }
--- a/crates/gateway/src/driver/request_table/tests.rs
+++ b/crates/gateway/src/driver/request_table/tests.rs
@@ -10,7 +10,7 @@
 /// Returns a table with one request, and the receiver of its final answer.
 fn table() -> (RequestTable, oneshot::Receiver<FinalAnswer>) {
     let (reply, answer) = oneshot::channel();
-    let forward = Forward {
+    let forward = ForwardedRequest {
         method: Method::GET,
         uri: "/".parse().expect("a path"),
         headers: HeaderMap::new(),
--- a/crates/gateway/src/driver/tests.rs
+++ b/crates/gateway/src/driver/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::backend::{attempt, AttemptEnd, AttemptParams, Forward, Payload};
+use crate::backend::{attempt, AttemptEnd, AttemptParams, ForwardedRequest, Payload};
 use crate::relay::{ClientBody, ServedBody, StreamObserver};
 use http_body_util::BodyExt;
 use hyper::{HeaderMap, Method};
@@ -63,10 +63,10 @@
 }
 
 /// Returns a request without a body.
-fn forward() -> Forward {
+fn forward() -> ForwardedRequest {
     let (method, uri) = (Method::GET, "/".parse().expect("a path"));
     let body = Payload::Complete(bytes::Bytes::new());
-    Forward { method, uri, headers: HeaderMap::new(), body, names: Rc::default() }
+    ForwardedRequest { method, uri, headers: HeaderMap::new(), body, names: Rc::default() }
 }
 
 fn driver() -> Driver {
--- a/crates/gateway/src/relay/upload.rs
+++ b/crates/gateway/src/relay/upload.rs
@@ -83,7 +83,7 @@
     }
 
     /// Waits until only this attempt can carry it.
-    pub async fn bound_to(&self, attempt: usize) {
+    pub async fn wait_until_bound_to(&self, attempt: usize) {
         self.wait_until(|upload| upload.is_bound_to(attempt)).await;
     }
 
--- a/crates/gateway/src/server/handler.rs
+++ b/crates/gateway/src/server/handler.rs
@@ -10,7 +10,7 @@
 };
 use super::submit::submit;
 use super::transfer::{ResponseStream, UploadInProgress};
-use crate::backend::{strip_hop_by_hop, Forward, Payload};
+use crate::backend::{strip_hop_by_hop, ForwardedRequest, Payload};
 use crate::driver::FinalAnswer;
 use crate::framing::BodyFraming;
 use crate::http::MAX_BODY_BYTES;
@@ -143,7 +143,7 @@
         let RequestHead { arrival, budget, .. } = self.parsed;
         let mut headers = self.head.headers;
         strip_hop_by_hop(&mut headers);
-        let forward = Forward {
+        let forward = ForwardedRequest {
             method: self.head.method,
             uri: self.head.uri,
             headers,
--- a/crates/gateway/src/server/submit.rs
+++ b/crates/gateway/src/server/submit.rs
@@ -1,7 +1,7 @@
 //! Submits a request to the driver and waits for its final answer.
 
 use super::context::ServerContext;
-use crate::backend::Forward;
+use crate::backend::ForwardedRequest;
 use crate::driver::{AcceptedRequest, DriverEvent, DriverSender, FinalAnswer};
 use lanespan_policy::{Arrival, Micros, RequestId};
 use tokio::sync::mpsc::error::TrySendError;
@@ -12,7 +12,7 @@
 pub(super) async fn submit(
     arrival: Arrival,
     budget: Micros,
-    forward: Forward,
+    forward: ForwardedRequest,
     context: &ServerContext,
 ) -> FinalAnswer {
     let accepted_at = context.clock.now();
--- a/crates/gateway/tests/backend.rs
+++ b/crates/gateway/tests/backend.rs
@@ -2,7 +2,7 @@
 #[path = "../../lanespan/tests/sockets/stubs.rs"]
 mod world;
 
-use lanespan_gateway::backend::{AttemptEnd, AttemptParams, Forward, Payload};
+use lanespan_gateway::backend::{AttemptEnd, AttemptParams, ForwardedRequest, Payload};
 use lanespan_gateway::config::document::PoolSection;
 use lanespan_gateway::pool::{Backend, Pool, PoolEnvironment, PoolSettings};
 use lanespan_gateway::relay::{ServedBody, StreamLimits};
@@ -54,9 +54,9 @@
     pool.add_backend(stub.address, 0, None)
 }
 
-fn post() -> Forward {
+fn post() -> ForwardedRequest {
     let (method, uri) = (hyper::Method::POST, "/api?customer=1".parse().expect("a path"));
-    Forward {
+    ForwardedRequest {
         method,
         uri,
         headers: hyper::HeaderMap::new(),
@@ -550,7 +550,7 @@
     let pool = pool(1, LONG, LONG);
     let backend = pool.add_backend(address, 0, None);
     // More than the sockets between them hold, so that it can't all be written.
-    let forward = Forward { body: Payload::Complete(vec![b'x'; 64 << 20].into()), ..post() };
+    let forward = ForwardedRequest { body: Payload::Complete(vec![b'x'; 64 << 20].into()), ..post() };
     let ended = on_runtime(async {
         let (((_open_sender, request_open), (_cancel, cancelled)), give_up_at) =
             ((watch::channel(true), oneshot::channel()), Instant::now() + LONG);
