--- a/crates/gateway/src/backend.rs
+++ b/crates/gateway/src/backend.rs
@@ -1,13 +1,13 @@
-//! Attempts at backends: a request is forwarded once, and the outcome says what came back and whether the request
-//! may have run.
+//! Attempts at backends. An attempt forwards a request to one backend once; its outcome states what was received and
+//! whether the backend may have executed the request.
 //!
 //! | module | job |
 //! | --- | --- |
-//! | `forward` | the request that is forwarded |
-//! | `attempt` | one attempt, its time limit and its cancellation |
-//! | `exchange` | its steps: checkout, request, response |
-//! | `send_progress` | how far the request was sent |
-//! | `outcome`, `attempt_end` | what a response, or none, says of the backend |
+//! | `forward` | the request to forward |
+//! | `attempt` | one attempt with its time limit and its cancellation |
+//! | `exchange` | the steps of an attempt: checkout, request, response |
+//! | `send_progress` | how much of the request was sent |
+//! | `outcome`, `attempt_end` | the outcome derived from a response or from its absence |
 
 mod attempt;
 mod attempt_end;
--- a/crates/gateway/src/backend/attempt.rs
+++ b/crates/gateway/src/backend/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at a backend, and the time that it has.
+//! One attempt at a backend, with its time limit and its cancellation.
 
 use super::attempt_end::AttemptEnd;
 use super::exchange::Exchange;
@@ -13,23 +13,23 @@
 use tokio::sync::{oneshot, watch};
 use tokio::time::{sleep_until, Instant};
 
-/// One attempt as the driver orders it.
+/// The parameters that the driver sets for one attempt.
 pub struct AttemptParams {
-    /// Its index among its request's attempts, from 0.
+    /// The index of the attempt among the attempts of its request, from 0.
     pub index: usize,
-    /// It ends by then, unless it carries a long upload.
+    /// When the attempt times out, unless an upload is bound to it by then.
     pub give_up_at: Instant,
-    /// It is not begun later than then.
+    /// The latest time at which the request may be sent.
     pub begin_by: Instant,
     /// Resolves when the attempt is cancelled.
     pub cancelled: oneshot::Receiver<()>,
-    /// Whether its request still waits for an answer. Where it does not, an attempt that is not begun yet never is,
-    /// also where none may be cancelled.
+    /// Whether the request still waits for a response. Once it does not, an attempt that has not sent the request yet
+    /// ends without sending it, even if the configuration forbids cancelling attempts.
     pub request_open: watch::Receiver<bool>,
 }
 
-/// Makes one attempt and returns how it ended, its connection closed or back in the pool. It ends in time, or when it
-/// is cancelled.
+/// Makes one attempt and returns its result. The attempt ends at its time limit at the latest, or when it is
+/// cancelled. By then its connection is closed, back in the pool, or owned by the streamed body of the result.
 pub async fn attempt(
     pool: &Rc<Pool>,
     streams: &StreamLimits,
@@ -56,28 +56,38 @@
             true => Outcome::NotSent.into(),
             false => Outcome::Cancelled.into(),
         },
-        () = time_limit(streams, request, index, give_up_at) => {
-            timed_out(pool, backend, request, &progress.borrow()).into()
+        () = wait_for_time_limit(streams, request, index, give_up_at) => {
+            timeout_outcome(pool, backend, request, &progress.borrow()).into()
         }
         end = exchange.run() => end,
     }
 }
 
-/// Waits until the time of an attempt is over: at `give_up_at`, or where it alone can carry an upload, once that
-/// stalls.
-async fn time_limit(streams: &StreamLimits, request: &ForwardedRequest, index: usize, give_up_at: Instant) {
+/// Waits until an attempt times out: at `give_up_at`, or, if an upload is bound to the attempt by then, once the
+/// backend no longer keeps up with the upload or with the time to respond to it.
+async fn wait_for_time_limit(
+    streams: &StreamLimits,
+    request: &ForwardedRequest,
+    index: usize,
+    give_up_at: Instant,
+) {
     let (Some(upload), Some(settings)) = (request.body.upload(), streams.last_settings()) else {
         return sleep_until(give_up_at).await;
     };
     tokio::select! {
         biased;
-        () = upload.wait_until_bound_to(index) => upload.backend_time_limit(&settings).await,
+        () = upload.wait_until_bound_to(index) => upload.wait_for_backend_timeout(&settings).await,
         () = sleep_until(give_up_at) => {}
     }
 }
 
-/// The outcome of an attempt whose time is over.
-fn timed_out(pool: &Pool, backend: &Backend, request: &ForwardedRequest, progress: &SendProgress) -> Outcome {
+/// Returns the outcome of an attempt that timed out.
+fn timeout_outcome(
+    pool: &Pool,
+    backend: &Backend,
+    request: &ForwardedRequest,
+    progress: &SendProgress,
+) -> Outcome {
     if progress.is_upload_partial() {
         return outcome::of_partial_upload(request);
     }
--- a/crates/gateway/src/backend/attempt_end.rs
+++ b/crates/gateway/src/backend/attempt_end.rs
@@ -1,21 +1,21 @@
-//! How an attempt ended.
+//! The result of an attempt.
 
 use crate::relay::ServedBody;
 use lanespan_policy::{LoadReport, Micros, Outcome};
 use tokio::sync::oneshot;
 
-/// How an attempt ended, with the body where it was served.
+/// The result of an attempt, with the body of a response that is to be served.
 #[derive(Debug)]
 pub struct AttemptEnd {
     /// The outcome.
     pub outcome: Outcome,
-    /// A 200's body.
+    /// The body of a response with status 200.
     pub body: Option<ServedBody>,
-    /// What the backend reported of its load.
+    /// The load that the backend reported.
     pub load_report: LoadReport,
-    /// A part of its time in which the backend was not waited for.
+    /// The part of the attempt that was spent waiting for stream memory, which is not part of the backend's latency.
     pub excluded_wait: Micros,
-    /// Resolves when a body that is still arriving has ended, and says how.
+    /// Resolves with the outcome of a body that is still arriving, once that body ends.
     pub stream_end: Option<oneshot::Receiver<Outcome>>,
 }
 
--- a/crates/gateway/src/backend/exchange.rs
+++ b/crates/gateway/src/backend/exchange.rs
@@ -1,4 +1,4 @@
-//! The steps of one attempt: a connection, the request, and as much of the response as the attempt waits for.
+//! The steps of one attempt: check out a connection, send the request, and read the response or its start.
 
 use super::attempt_end::AttemptEnd;
 use super::forward::{ForwardedRequest, Payload};
@@ -20,7 +20,7 @@
 use tokio::sync::{oneshot, watch};
 use tokio::time::{timeout_at, Instant};
 
-/// One attempt's exchange with its backend. It sets no time limit of its own.
+/// The exchange of one attempt with its backend. The caller enforces the time limit of the attempt.
 pub(super) struct Exchange<'a> {
     pub(super) pool: &'a Rc<Pool>,
     pub(super) streams: &'a StreamLimits,
@@ -30,12 +30,12 @@
     pub(super) give_up_at: Instant,
     pub(super) begin_by: Instant,
     pub(super) request_open: watch::Receiver<bool>,
-    /// Updated as the request is sent, for whoever ends the attempt meanwhile.
+    /// Updated as the request is sent. The caller reads it when it ends the attempt early.
     pub(super) progress: &'a RefCell<SendProgress>,
 }
 
 impl Exchange<'_> {
-    /// Carries the exchange out.
+    /// Runs the exchange and returns the result of the attempt.
     pub(super) async fn run(mut self) -> AttemptEnd {
         loop {
             let mut pooled = match self.checkout().await {
@@ -44,23 +44,24 @@
             };
             let reused = pooled.is_reused();
             let Some(connection) = pooled.connection() else { return Outcome::NotSent.into() };
-            // The settings may change while the response is read.
+            // Read once, because the settings may change while the response is read.
             let settings = self.streams.settings();
             match self.send_and_receive(connection, settings).await {
-                Ok(ReceivedResponse::Complete(response)) => return self.complete(pooled, response),
+                Ok(ReceivedResponse::Complete(response)) => return self.finish_complete(pooled, response),
                 Ok(ReceivedResponse::Partial(response, start)) => {
-                    return self.stream(pooled, response, start, settings).await;
+                    return self.finish_streamed(pooled, response, start, settings).await;
                 }
-                // Guards against a pooled connection that was closed just before the request was written.
-                Err(CallError::NotSent) if reused && self.can_send_again() => {
+                // The backend closed the pooled connection just before the request was written: nothing was sent, so
+                // the request is sent on another connection.
+                Err(CallError::NotSent) if reused && self.can_resend() => {
                     *self.progress.borrow_mut() = SendProgress::default();
                 }
-                Err(error) => return self.failed(error).into(),
+                Err(error) => return self.error_outcome(error).into(),
             }
         }
     }
 
-    /// Gets a connection, or the outcome of an attempt that is not begun.
+    /// Checks out a connection. Returns the outcome of the attempt if the request must not be sent.
     async fn checkout(&mut self) -> Result<PooledConnection, Outcome> {
         let checkout = tokio::select! {
             biased;
@@ -68,41 +69,41 @@
             checkout = self.pool.checkout(self.backend, self.give_up_at.min(self.begin_by)) => checkout,
         };
         let pooled =
-            checkout.map_err(|error| match self.begin_by < self.give_up_at && self.is_too_late() {
-                // A retry whose time to begin ended while a connection came up says nothing of its backend.
+            checkout.map_err(|error| match self.begin_by < self.give_up_at && self.is_past_begin_by() {
+                // A retry that passed `begin_by` while it waited for a connection proves nothing about its backend.
                 true => Outcome::NotSent,
                 false => outcome::without_connection(error),
             })?;
-        // Guards against sending to a backend that began to drain while the connection came up, and against a retry
-        // after the time in which its backend remembers the first attempt.
+        // The backend may have begun to drain while the attempt waited for the connection. After
+        // `begin_by` a retried request could run twice, because its backend may no longer remember the first attempt.
         if !self.backend.open.get() || Instant::now() > self.begin_by {
             return Err(Outcome::NotSent);
         }
         Ok(pooled)
     }
 
-    fn is_too_late(&self) -> bool {
+    fn is_past_begin_by(&self) -> bool {
         Instant::now() >= self.begin_by
     }
 
-    /// Whether the request's body can be sent from the start.
-    fn can_send_again(&self) -> bool {
+    /// Returns whether the body of the request can be sent again from its start.
+    fn can_resend(&self) -> bool {
         self.request.body.upload().is_none_or(|upload| upload.is_replayable())
     }
 
-    /// Sends the request and reads the response, or its start where it is to be streamed.
+    /// Sends the request and reads the complete response, or only its start if the rest is to be streamed.
     async fn send_and_receive(
         &self,
         connection: &mut Connection,
         settings: Option<StreamSettings>,
     ) -> Result<ReceivedResponse, CallError> {
         let (body, upload) = self.request_body();
-        // From here on the attempt may have run, for all that a caller who stops waiting can know; one that carries
-        // an upload, from its last byte on.
+        // If the caller ends the attempt from here on, the request may have run. A request with an upload may have run
+        // only once the last byte was sent.
         *self.progress.borrow_mut() =
             SendProgress { traffic: Some(connection.traffic()), upload: upload.clone() };
-        let response = connection.send(self.request.request(self.give_up_at, body)).await?;
-        // An early response ends the upload.
+        let response = connection.send(self.request.to_http_request(self.give_up_at, body)).await?;
+        // A response that arrives before the upload is complete ends the upload.
         if let Some(upload) = upload.filter(|upload| !upload.is_complete()) {
             upload.stop();
         }
@@ -123,8 +124,8 @@
         }
     }
 
-    /// Ends with a complete response. Its connection can carry another request if all of this one was sent.
-    fn complete(&self, pooled: PooledConnection, response: Response<Bytes>) -> AttemptEnd {
+    /// Finishes an attempt with a complete response. The connection is reused only if the request was sent completely.
+    fn finish_complete(&self, pooled: PooledConnection, response: Response<Bytes>) -> AttemptEnd {
         let end = outcome::of_response(response.map(ServedBody::Complete), &self.request.names.headers);
         match end.outcome {
             Outcome::Success => self.pool.request_succeeded(self.backend),
@@ -137,8 +138,8 @@
         end
     }
 
-    /// Ends with a response whose rest is streamed, once there is memory for that.
-    async fn stream(
+    /// Finishes an attempt whose response is only partly read: reserves memory and streams the rest.
+    async fn finish_streamed(
         &self,
         pooled: PooledConnection,
         response: Response<Incoming>,
@@ -147,8 +148,8 @@
     ) -> AttemptEnd {
         self.pool.backend_responded(self.backend);
         let names = &self.request.names.headers;
-        let (head, rest) = response.into_parts();
-        // Only a 200 is passed on: the rest of another response is of no use.
+        let (head, remaining) = response.into_parts();
+        // Only a response with status 200 is served, so the rest of any other response is not read.
         let Some(settings) = settings.filter(|_| head.status == StatusCode::OK) else {
             return outcome::of_response(
                 Response::from_parts(head, ServedBody::Complete(Bytes::new())),
@@ -167,7 +168,7 @@
         let body = StreamedBody::new(StreamedBodyParams {
             held_back: start,
             connection: pooled,
-            rest,
+            remaining,
             request_complete,
             end_sender,
             memory,
@@ -177,8 +178,8 @@
         AttemptEnd { excluded_wait, stream_end: Some(stream_end), ..end }
     }
 
-    /// The outcome of a request that has no response.
-    fn failed(&self, error: CallError) -> Outcome {
+    /// Returns the outcome of a request that got no response.
+    fn error_outcome(&self, error: CallError) -> Outcome {
         match error {
             CallError::NotSent => Outcome::ConnectFailed,
             CallError::Broken => {
--- a/crates/gateway/src/backend/forward.rs
+++ b/crates/gateway/src/backend/forward.rs
@@ -1,4 +1,4 @@
-//! A client's request as it is forwarded to backends.
+//! The request that is forwarded to backends.
 
 use crate::http::RequestBody;
 use crate::names::Names;
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 use tokio::time::Instant;
 
-/// Header fields that hold for one connection alone (RFC 9110, section 7.6.1), and Content-Length, as a forwarded
+/// Header fields that apply to a single connection (RFC 9110, section 7.6.1), and Content-Length, because a forwarded
 /// message is framed anew.
 const HOP_BY_HOP_HEADERS: [HeaderName; 8] = [
     header::CONNECTION,
@@ -25,29 +25,29 @@
 /// A client's request as it is forwarded to backends.
 #[derive(Debug)]
 pub struct ForwardedRequest {
-    /// Its method.
+    /// The method of the request.
     pub method: Method,
-    /// Its path and query.
+    /// The path and query.
     pub uri: Uri,
-    /// Its headers, without those that hold for the client's connection alone.
+    /// The headers, without those that apply only to the client's connection.
     pub headers: HeaderMap,
-    /// Its body.
+    /// The body.
     pub body: Payload,
-    /// The deployment's names of headers.
+    /// The header names of this deployment.
     pub names: Rc<Names>,
 }
 
 /// The body of a client's request.
 #[derive(Debug)]
 pub enum Payload {
-    /// It was read before the request was accepted.
+    /// A body that was read completely before the request was accepted.
     Complete(Bytes),
-    /// It may still be arriving.
+    /// A body that may still be arriving.
     Upload(Rc<Upload>),
 }
 
 impl Payload {
-    /// The upload, if it is one.
+    /// Returns the upload, if the body is one.
     pub fn upload(&self) -> Option<&Rc<Upload>> {
         match self {
             Payload::Complete(_) => None,
@@ -57,19 +57,19 @@
 }
 
 impl ForwardedRequest {
-    /// The request of one attempt. Its budget tells the backend how long this gateway waits.
-    pub(super) fn request(&self, give_up_at: Instant, body: RequestBody) -> Request<RequestBody> {
+    /// Builds the HTTP request of one attempt. Its timeout header contains the time for which this gateway waits.
+    pub(super) fn to_http_request(&self, give_up_at: Instant, body: RequestBody) -> Request<RequestBody> {
         let mut request = Request::new(body);
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = self.uri.clone();
         *request.headers_mut() = self.headers.clone();
-        let budget_ms = give_up_at.saturating_duration_since(Instant::now()).as_millis() as u64;
-        request.headers_mut().insert(&self.names.headers.timeout, HeaderValue::from(budget_ms));
+        let timeout_ms = give_up_at.saturating_duration_since(Instant::now()).as_millis() as u64;
+        request.headers_mut().insert(&self.names.headers.timeout, HeaderValue::from(timeout_ms));
         request
     }
 }
 
-/// Removes the headers that hold for one connection alone.
+/// Removes the headers that apply to a single connection, and Content-Length.
 pub fn strip_hop_by_hop(headers: &mut HeaderMap) {
     for name in &HOP_BY_HOP_HEADERS {
         headers.remove(name);
--- a/crates/gateway/src/backend/outcome.rs
+++ b/crates/gateway/src/backend/outcome.rs
@@ -1,4 +1,4 @@
-//! The outcome of an attempt, from what came back or did not.
+//! Derives the outcome of an attempt from the response, or from the reason why there is none.
 
 use super::attempt_end::AttemptEnd;
 use super::forward::ForwardedRequest;
@@ -8,18 +8,18 @@
 use hyper::{Response, StatusCode};
 use lanespan_policy::{LoadReport, Outcome};
 
-/// The outcome of an attempt for which there was no connection. In no case did the request reach its backend.
+/// Returns the outcome of an attempt that got no connection. In none of these cases was the request sent.
 pub(super) fn without_connection(error: CheckoutError) -> Outcome {
     match error {
         CheckoutError::BackendClosed | CheckoutError::PoolExhausted => Outcome::NotSent,
         CheckoutError::Unreachable => Outcome::ConnectFailed,
-        // The backend takes no more connections, so it would reject one more request.
+        // All connections that the backend accepts are in use, so it would reject another request.
         CheckoutError::BackendFull => Outcome::Rejected,
     }
 }
 
-/// The outcome of an attempt whose upload did not reach its backend completely: it never ran. Where the client is
-/// the one waited for, the backend is not at fault.
+/// Returns the outcome of an attempt whose upload did not reach its backend completely, so that the request never ran.
+/// If the gateway was waiting for the client, the backend is not at fault.
 pub(super) fn of_partial_upload(request: &ForwardedRequest) -> Outcome {
     match request.body.upload().is_some_and(|upload| upload.awaits_client()) {
         true => Outcome::NotSent,
@@ -27,8 +27,8 @@
     }
 }
 
-/// What a response says. Guards against taking a bare 503 or 504 for a rejection: only the header proves that the
-/// request never ran.
+/// Returns the result of an attempt that got a response. A 503 or 504 counts as a rejection only with the rejected
+/// header: without it nothing proves that the request never ran.
 pub(super) fn of_response(response: Response<ServedBody>, names: &Headers) -> AttemptEnd {
     let has_rejected_header =
         response.headers().get(&names.rejected).is_some_and(|value| value.as_bytes() == b"1");
@@ -44,8 +44,8 @@
     AttemptEnd { body, load_report, ..outcome.into() }
 }
 
-/// Reads `TEXT depth=2, load_share=0.61`, with the platform's names of fields. Fields that can't be read are passed
-/// over: a report only advises.
+/// Parses a load report such as `TEXT depth=2, load_share=0.61`, with the field names of the platform. Malformed
+/// fields are ignored, because a load report is only advisory.
 fn parse_load_report(text: &str) -> LoadReport {
     let mut report = LoadReport::default();
     for field in text.strip_prefix("TEXT").unwrap_or(text).split(',') {
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -1,17 +1,18 @@
-//! The connections to all backends: each is checked out for one request at a time and released after it.
+//! The pool of connections to all backends. A connection is checked out for one request at a time and released after
+//! it.
 //!
-//! [`PoolState`] decides which request gets which connection, and knows no socket; [`Pool`] has the sockets, the timers
-//! and the dials.
+//! [`PoolState`] decides which request gets which connection, without any I/O. [`Pool`] owns the sockets, the timers and
+//! the dial tasks.
 //!
 //! | module | job |
 //! | --- | --- |
-//! | `state` | the state machine: checkouts, releases, dials, evictions, connections ahead of need |
-//! | `backend_state` | its part for one backend |
-//! | `idle`, `connection_limit`, `dial_backoff`, `preconnect` | of one backend: idle connections, how many it takes, the pause after failed dials, recent use |
+//! | `state` | the state machine: checkouts, releases, dials, evictions, preconnects |
+//! | `backend_state` | the state of one backend |
+//! | `idle`, `connection_limit`, `dial_backoff`, `preconnect` | for one backend: idle connections, the adaptive connection limit, the backoff after failed dials, recent use |
 //! | `settings` | the `pool` section of the configuration |
-//! | `pooled_connection`, `waiting` | a connection that a request has, and the wait for one |
-//! | `id`, `poolable`, `error` | types that these share |
-//! | `stats`, `usage_log` | figures |
+//! | `pooled_connection`, `waiting` | a checked-out connection, and the wait for one |
+//! | `id`, `poolable`, `error` | shared types |
+//! | `stats`, `usage_log` | counters and gauges, and how they are logged |
 
 mod backend_state;
 mod connection_limit;
@@ -56,20 +57,20 @@
     }
 }
 
-/// One incarnation of a backend. Guards against giving a connection to another server that has the same address later:
-/// connections belong to an incarnation, not to an address.
+/// One incarnation of a backend. Connections belong to an incarnation and not to an address, because another server may
+/// use the same address later.
 #[derive(Debug)]
 pub struct Backend {
     id: IncarnationId,
-    /// Where it listens.
+    /// The address on which the backend listens.
     pub address: SocketAddr,
-    /// When it started, as its endpoint list says; a change means that old connections are dead.
+    /// The start time of the backend from the endpoint list. A change means that older connections are dead.
     pub started_at_ms: u64,
-    /// Cleared when the endpoint list says that it drains or is gone.
+    /// Cleared when the endpoint list reports that the backend drains or is gone.
     pub open: Cell<bool>,
 }
 
-/// The connections to all backends.
+/// The pool of connections to all backends.
 pub struct Pool {
     state: RefCell<PoolState<Connection>>,
     waiters: Waiters,
@@ -78,8 +79,8 @@
 }
 
 impl Pool {
-    /// An empty pool. A connection must come up within `dial_timeout`. Pools with different seeds act at different
-    /// times.
+    /// Creates an empty pool. A dial must succeed within `dial_timeout`. The seed determines the jitter, so pools with
+    /// different seeds do not act in step.
     pub fn new(settings: PoolSettings, dial_timeout: Duration, seed: u64) -> Rc<Pool> {
         Rc::new(Pool {
             state: RefCell::new(PoolState::new(settings, seed)),
@@ -89,47 +90,52 @@
         })
     }
 
-    /// Adds a backend that is in service; it may follow an earlier incarnation of the same one.
-    pub fn add_backend(&self, address: SocketAddr, started_at_ms: u64, follows: Option<&Backend>) -> Backend {
-        let id = self.state.borrow_mut().add(follows.map(|predecessor| predecessor.id));
+    /// Adds a backend that is in service. `predecessor` is the earlier incarnation of the same backend, if there is one.
+    pub fn add_backend(
+        &self,
+        address: SocketAddr,
+        started_at_ms: u64,
+        predecessor: Option<&Backend>,
+    ) -> Backend {
+        let id = self.state.borrow_mut().add(predecessor.map(|predecessor| predecessor.id));
         Backend { id, address, started_at_ms, open: Cell::new(true) }
     }
 
-    /// Takes a backend out of service that moved, restarted, drains or is gone: no further request gets a connection
-    /// to it, none that waits for one, and its idle connections are closed.
+    /// Takes a backend out of service that moved, restarted, drains or is gone. No request gets a connection to it any
+    /// more, not even one that already waits, and its idle connections are closed.
     pub fn close(&self, backend: &Backend) {
         backend.open.set(false);
         let waiters = self.state.borrow_mut().close(backend.id);
         self.waiters.deny(waiters, CheckoutError::BackendClosed);
     }
 
-    /// Closes all idle connections; from now on none is kept.
+    /// Closes all idle connections. From now on, released connections are closed as well.
     pub fn stop(&self) {
         self.state.borrow_mut().stop();
         self.usage_log.log_now(self.counters(), self.gauges());
     }
 
-    /// Puts new settings in force.
+    /// Applies new settings.
     pub fn configure(&self, settings: PoolSettings) {
         self.state.borrow_mut().configure(settings);
     }
 
-    /// The settings in force.
+    /// Returns the settings in force.
     pub fn settings(&self) -> PoolSettings {
         *self.state.borrow().settings()
     }
 
-    /// The present state in figures.
+    /// Returns the current gauges.
     pub fn gauges(&self) -> Gauges {
         self.state.borrow().gauges()
     }
 
-    /// Totals since the start.
+    /// Returns the totals since the start.
     pub fn counters(&self) -> Counters {
         self.state.borrow().counters()
     }
 
-    /// Gets a connection for one request, within the time that a request may wait for one, and by `deadline`.
+    /// Checks out a connection for one request. Waits at most for the wait timeout of the settings and until `deadline`.
     pub async fn checkout(self: &Rc<Self>, backend: &Backend, deadline: Instant) -> CheckoutResult {
         let now = Instant::now();
         let (id, address) = (backend.id, backend.address);
@@ -155,39 +161,39 @@
         }
     }
 
-    /// A backend answered a request with success.
+    /// Records that a backend responded successfully to a request.
     pub fn request_succeeded(&self, backend: &Backend) {
         self.state.borrow_mut().request_succeeded(Instant::now(), backend.id);
     }
 
-    /// A backend rejected a request.
+    /// Records that a backend rejected a request.
     pub fn request_rejected(&self, backend: &Backend) {
         self.state.borrow_mut().request_rejected(Instant::now(), backend.id);
     }
 
-    /// A backend responded in another way.
+    /// Records that a backend responded in any other way.
     pub fn backend_responded(&self, backend: &Backend) {
         self.state.borrow_mut().backend_responded(backend.id);
     }
 
-    /// An attempt timed out without a byte from its backend.
+    /// Records that an attempt timed out without receiving a byte from the backend.
     pub fn timed_out_silently(&self, backend: &Backend) {
         self.state.borrow_mut().timed_out_silently(backend.id);
     }
 
-    /// Closes idle connections that are too old or were closed by their backend, and logs the figures.
+    /// Closes idle connections that are too old or were closed by their backend, and logs the pool usage.
     pub fn retire(&self) {
         self.state.borrow_mut().retire(Instant::now());
         self.usage_log.log(self.counters(), self.gauges());
     }
 
-    /// Whether recent use of a backend asks for more connections than there are.
+    /// Returns whether the recent use of a backend calls for more connections than it has.
     pub fn wants_preconnect(&self, backend: &Backend) -> bool {
         self.state.borrow().wants_preconnect(Instant::now(), backend.id)
     }
 
-    /// Opens connections ahead of need to some of these backends, as the pace allows, each after a random delay within
-    /// `spread`.
+    /// Opens connections ahead of demand to some of these backends, within the rate limit, each after a random
+    /// delay of at most `spread`.
     pub fn preconnect(self: &Rc<Self>, wanting: &[Rc<Backend>], spread: Duration) {
         let ids = wanting.iter().map(|backend| backend.id).collect();
         let chosen = self.state.borrow_mut().choose_preconnects(Instant::now(), ids, spread);
@@ -214,7 +220,7 @@
         PooledConnection::new(self.clone(), id, address, connection, reused)
     }
 
-    /// Dials a connection that was entered in the state. The request for which it is dialled may end meanwhile.
+    /// Dials a connection that is already counted in the state. The request that caused the dial may end meanwhile.
     fn dial(self: &Rc<Self>, id: IncarnationId, address: SocketAddr) {
         let pool = self.clone();
         spawn_local(async move {
@@ -233,7 +239,7 @@
         });
     }
 
-    /// Gives connections to the requests that wait, once the next idle one has settled.
+    /// Grants idle connections to waiting requests at `at`, when the next idle connection has settled.
     fn serve_waiters_at(self: &Rc<Self>, id: IncarnationId, address: SocketAddr, at: Instant) {
         let pool = self.clone();
         spawn_local(async move {
@@ -251,7 +257,8 @@
         });
     }
 
-    /// The state must not be borrowed while a connection is granted, as that may release it.
+    /// Returns the next waiting request with its connection. The state is not borrowed after this call, because granting
+    /// the connection may release it, which borrows the state again.
     fn next_served(&self, id: IncarnationId) -> Option<(WaiterId, Connection)> {
         self.state.borrow_mut().serve_waiter(Instant::now(), id)
     }
--- a/crates/gateway/src/pool/backend_state.rs
+++ b/crates/gateway/src/pool/backend_state.rs
@@ -1,4 +1,4 @@
-//! What the pool knows of one incarnation of a backend.
+//! The pool's state for one incarnation of a backend.
 
 use super::connection_limit::ConnectionLimit;
 use super::dial_backoff::DialBackoff;
@@ -10,24 +10,24 @@
 use std::collections::VecDeque;
 use tokio::time::Instant;
 
-/// After so many attempts in a row that timed out without a byte from the backend, its machine is taken to have
-/// vanished.
+/// The number of consecutive attempts or dials that time out without a byte from the backend after which its machine is
+/// assumed to be gone.
 const UNRESPONSIVE_AFTER_TIMEOUTS: u32 = 2;
 
-/// One incarnation of a backend.
+/// The state of one incarnation of a backend.
 pub(super) struct BackendState<C> {
-    /// Whether it takes requests. Cleared when it moved, restarted, drains or is gone; the state is kept until no
-    /// connection is out.
+    /// Whether requests may be sent to the backend. Cleared when it moved, restarted, drains or is gone. The state is
+    /// kept until no connection is in use or being dialled.
     pub(super) in_service: bool,
     pub(super) idle: IdleConnections<C>,
     pub(super) in_use: usize,
     pub(super) dialling: usize,
-    /// Requests that wait for a connection, the longest waiting first.
+    /// Requests that wait for a connection, in the order of their arrival.
     pub(super) waiting: VecDeque<WaiterId>,
     pub(super) limit: ConnectionLimit,
     pub(super) backoff: DialBackoff,
     pub(super) recent_use: RecentUse,
-    /// Attempts and dials in a row that timed out without a byte from it.
+    /// Consecutive attempts and dials that timed out without a byte from the backend.
     silent_timeouts: u32,
 }
 
@@ -46,55 +46,56 @@
         }
     }
 
-    /// All connections to it.
+    /// Returns the number of connections to the backend, including those being dialled.
     pub(super) fn held(&self) -> usize {
         self.idle.len() + self.in_use + self.dialling
     }
 
-    /// Whether as many connections are held as it takes.
+    /// Returns whether the connection limit is reached.
     pub(super) fn is_at_limit(&self) -> bool {
         self.held() >= self.limit.connections()
     }
 
-    /// A byte came from it.
+    /// Records that a byte was received from the backend.
     pub(super) fn responded(&mut self) {
         self.silent_timeouts = 0;
     }
 
-    /// An attempt or a dial timed out without a byte from it.
+    /// Records that an attempt or a dial timed out without a byte from the backend.
     pub(super) fn timed_out_silently(&mut self) {
         self.silent_timeouts = self.silent_timeouts.saturating_add(1);
     }
 
-    /// Whether its machine seems to have vanished: no idle connection is used until a new one has come up.
+    /// Returns whether the backend's machine seems to be gone. If so, idle connections are not used until a new one has
+    /// been established.
     pub(super) fn is_unresponsive(&self) -> bool {
         self.silent_timeouts >= UNRESPONSIVE_AFTER_TIMEOUTS
     }
 
-    /// When the first idle connection may be used.
+    /// Returns when the first idle connection may be used.
     pub(super) fn next_settled_at(&self) -> Option<Instant> {
         self.idle.first_settled_at().filter(|_| !self.is_unresponsive())
     }
 
-    /// Connections that may become free for waiting requests without another dial.
-    pub(super) fn expected(&self) -> usize {
+    /// Returns the number of connections that may become free for waiting requests without another dial.
+    pub(super) fn expected_connections(&self) -> usize {
         match self.is_unresponsive() {
             true => self.dialling,
             false => self.dialling + self.idle.len(),
         }
     }
 
-    /// Whether no connection is up that could become free.
-    pub(super) fn has_none_up(&self) -> bool {
+    /// Returns whether there is no established connection that could become free.
+    pub(super) fn has_no_established_connection(&self) -> bool {
         self.in_use == 0 && self.next_settled_at().is_none()
     }
 
-    /// Whether another connection may be dialled as far as the backoff goes.
+    /// Returns whether the backoff allows another dial.
     pub(super) fn may_dial(&self, now: Instant) -> bool {
         self.backoff.may_dial(now, self.dialling)
     }
 
-    /// Whether it is out of service and no connection is out.
+    /// Returns whether the backend is out of service and no connection is in use or being dialled.
     pub(super) fn is_finished(&self) -> bool {
         !self.in_service && self.in_use == 0 && self.dialling == 0
     }
--- a/crates/gateway/src/pool/connection_limit.rs
+++ b/crates/gateway/src/pool/connection_limit.rs
@@ -1,20 +1,22 @@
-//! How many connections a backend takes from this gateway. Backends do not tell, and other gateways have theirs: the
-//! limit is found by additive increase and multiplicative decrease.
+//! An adaptive limit on the connections from this gateway to one backend. Backends do not announce how many connections
+//! they accept, and other gateways hold connections as well, so the limit is found by additive increase and
+//! multiplicative decrease (AIMD).
 
 use super::settings::PoolSettings;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// What a refused dial leaves of the connections that were up.
-const DIAL_REFUSED_DECREASE: f64 = 0.8;
-/// What a rejected request leaves of the connections that were in use.
-const REQUEST_REJECTED_DECREASE: f64 = 0.7;
-/// After a decrease, failures are ignored for so long: what was under way by then says nothing new.
+/// The share of the established connections to which a refused dial lowers the limit.
+const DIAL_REFUSED_REMAINING_SHARE: f64 = 0.8;
+/// The share of the connections in use to which a rejected request lowers the limit.
+const REQUEST_REJECTED_REMAINING_SHARE: f64 = 0.7;
+/// How long failures are ignored after a decrease, because those of requests and dials that were already in progress
+/// carry no new information.
 const DECREASE_INTERVAL: Duration = Duration::from_millis(100);
-/// While the limit is reached, one more connection is tried after this time, give or take a quarter.
+/// How long the limit must be reached before it is raised by one connection. Jittered by up to a quarter either way.
 const INCREASE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The limit for one backend.
+/// The adaptive connection limit for one backend.
 #[derive(Debug)]
 pub(super) struct ConnectionLimit {
     connections: f64,
@@ -23,31 +25,31 @@
 }
 
 impl ConnectionLimit {
-    /// Starts at the maximum: the settings already share the backend among the gateways.
+    /// Starts at the maximum, because the settings already divide the backend's connections among the gateways.
     pub(super) fn new(settings: &PoolSettings) -> ConnectionLimit {
         let connections = settings.max_backend_connections as f64;
         ConnectionLimit { connections, decreased_at: None, increase_at: None }
     }
 
-    /// The most connections at once.
+    /// Returns the maximum number of concurrent connections.
     pub(super) fn connections(&self) -> usize {
         self.connections as usize
     }
 
-    /// Stays within new settings.
+    /// Clamps the limit to new settings.
     pub(super) fn configure(&mut self, settings: &PoolSettings) {
         let (min, max) = (settings.min_backend_connections, settings.max_backend_connections);
         self.connections = self.connections.clamp(min as f64, max as f64);
     }
 
-    /// A dial was refused while so many connections were up.
-    pub(super) fn dial_refused(&mut self, now: Instant, connections_up: usize, settings: &PoolSettings) {
-        self.decrease(now, connections_up as f64 * DIAL_REFUSED_DECREASE, settings);
+    /// Lowers the limit after a dial was refused while `established` connections existed.
+    pub(super) fn dial_refused(&mut self, now: Instant, established: usize, settings: &PoolSettings) {
+        self.decrease(now, established as f64 * DIAL_REFUSED_REMAINING_SHARE, settings);
     }
 
-    /// A request was rejected while so many connections were in use.
+    /// Lowers the limit after a request was rejected while `in_use` connections were in use.
     pub(super) fn request_rejected(&mut self, now: Instant, in_use: usize, settings: &PoolSettings) {
-        self.decrease(now, in_use as f64 * REQUEST_REJECTED_DECREASE, settings);
+        self.decrease(now, in_use as f64 * REQUEST_REJECTED_REMAINING_SHARE, settings);
     }
 
     fn decrease(&mut self, now: Instant, to: f64, settings: &PoolSettings) {
@@ -59,8 +61,8 @@
         self.increase_at = None;
     }
 
-    /// A request succeeded while so many connections were held. `jitter` is from 0 to 1; it keeps gateways from
-    /// increasing in step.
+    /// Raises the limit if it has been reached for long enough, after a request succeeded while `held` connections were
+    /// held. `jitter` is from 0 to 1 and keeps gateways from raising their limits in step.
     pub(super) fn request_succeeded(
         &mut self,
         now: Instant,
--- a/crates/gateway/src/pool/dial_backoff.rs
+++ b/crates/gateway/src/pool/dial_backoff.rs
@@ -1,38 +1,40 @@
-//! The pause after failed dials to one backend, which doubles with each failure.
+//! Exponential backoff after failed dials to one backend.
 
 use super::settings::PoolSettings;
 use tokio::time::Instant;
 
-/// The pause doubles at most so often; its maximum is reached long before.
+/// The maximum number of doublings of the pause, which keeps the shift in range. The configured maximum is reached long
+/// before.
 const MAX_DOUBLINGS: u32 = 20;
 
 /// The backoff of dials to one backend.
 #[derive(Debug, Default)]
 pub(super) struct DialBackoff {
-    /// Failures in a row.
+    /// Consecutive failures.
     failures: u32,
-    /// The end of the pause after the last one.
+    /// The end of the pause after the last failure.
     retry_at: Option<Instant>,
 }
 
 impl DialBackoff {
-    /// Whether the last dial failed.
+    /// Returns whether the last dial failed.
     pub(super) fn is_failing(&self) -> bool {
         self.retry_at.is_some()
     }
 
-    /// Whether another connection may be dialled. After a failure, and until a dial succeeds, one at a time is tried
-    /// once the pause is over.
+    /// Returns whether another connection may be dialled. After a failure, only one dial at a time is allowed once the
+    /// pause is over, until a dial succeeds.
     pub(super) fn may_dial(&self, now: Instant, dialling: usize) -> bool {
         self.retry_at.is_none_or(|at| now >= at && dialling == 0)
     }
 
-    /// A dial succeeded.
+    /// Resets the backoff after a successful dial.
     pub(super) fn succeeded(&mut self) {
         *self = DialBackoff::default();
     }
 
-    /// A dial failed. Dials that were under way together fail for one reason and count once. `jitter` is from 0 to 1.
+    /// Starts the next pause after a failed dial. Concurrent dials fail for the same reason and count as one failure.
+    /// `jitter` is from 0 to 1.
     pub(super) fn failed(&mut self, now: Instant, jitter: f64, settings: &PoolSettings) {
         if self.retry_at.is_some_and(|at| now < at) {
             return;
--- a/crates/gateway/src/pool/error.rs
+++ b/crates/gateway/src/pool/error.rs
@@ -1,31 +1,31 @@
-//! Why a request gets no connection.
+//! Errors of checkouts and dials.
 
 use thiserror::Error;
 
-/// Why a checkout failed. In no case was anything sent.
+/// Error of a failed checkout. Nothing was sent in any of these cases.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum CheckoutError {
     /// The backend moved, restarted, drains or is gone.
-    #[error("the backend is not in service any more")]
+    #[error("the backend is no longer in service")]
     BackendClosed,
-    /// No connection to the backend came up.
+    /// No connection to the backend could be established.
     #[error("the backend is unreachable")]
     Unreachable,
-    /// The backend takes no more connections from this gateway, and none came free in time.
+    /// The backend accepts no more connections from this gateway, and none became free in time.
     #[error("all connections to the backend are in use")]
     BackendFull,
-    /// This gateway has no descriptor left for a connection.
+    /// The limit of this gateway on connections or on waiting requests is reached.
     #[error("all connections of this gateway are in use")]
     PoolExhausted,
 }
 
-/// Why a connection did not come up.
+/// Error of a failed dial.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum DialError {
-    /// The other side refused it, at once.
-    #[error("the connection was refused")]
+    /// The dial failed without timing out, for example because the backend refused the connection.
+    #[error("the backend refused the connection")]
     Refused,
-    /// Nothing came back in time.
-    #[error("the connection timed out")]
+    /// The connection was not established in time.
+    #[error("the connection to the backend timed out")]
     TimedOut,
 }
--- a/crates/gateway/src/pool/id.rs
+++ b/crates/gateway/src/pool/id.rs
@@ -1,9 +1,9 @@
-//! The pool's numbers for backends and requests.
+//! Identifiers of backends and waiting requests within the pool.
 
-/// The pool's number for one incarnation of a backend.
+/// Identifies one incarnation of a backend within the pool.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct IncarnationId(pub u64);
 
-/// The pool's number for a request that asks for a connection.
+/// Identifies a request that checks out a connection.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct WaiterId(pub u64);
--- a/crates/gateway/src/pool/poolable.rs
+++ b/crates/gateway/src/pool/poolable.rs
@@ -1,9 +1,9 @@
-//! What the pool's state must know of a connection.
+//! The connection interface that the pool's state depends on.
 
-/// A connection, as far as the pool's state must know it.
+/// A connection that the pool's state can manage.
 pub trait Poolable {
-    /// Whether it can carry another request, as far as the runtime has seen.
+    /// Returns whether the connection can carry another request, by what the runtime has seen so far.
     fn is_usable(&mut self) -> bool;
-    /// Whether the system holds nothing unread for it: no byte, no end, no error.
+    /// Returns whether the socket has no unread data, no close by the peer and no error.
     fn has_no_unread_data(&mut self) -> bool;
 }
--- a/crates/gateway/src/pool/pooled_connection.rs
+++ b/crates/gateway/src/pool/pooled_connection.rs
@@ -1,4 +1,4 @@
-//! A connection that one request has.
+//! A connection that is checked out for one request.
 
 use super::id::IncarnationId;
 use super::Pool;
@@ -7,7 +7,8 @@
 use std::rc::Rc;
 use tokio::time::Instant;
 
-/// A connection that one request has. Where it is dropped and not released, it is closed.
+/// A connection that is checked out for one request. Dropping it without [`PooledConnection::release`] closes the
+/// connection.
 pub struct PooledConnection {
     pool: Rc<Pool>,
     id: IncarnationId,
@@ -28,18 +29,18 @@
         PooledConnection { pool, id, address, connection: Some(connection), reused, used: false }
     }
 
-    /// Whether it had been idle.
+    /// Returns whether the connection was idle in the pool before this checkout.
     pub fn is_reused(&self) -> bool {
         self.reused
     }
 
-    /// The connection, to write a request to.
+    /// Returns the connection, which counts as used from now on.
     pub fn connection(&mut self) -> Option<&mut Connection> {
         self.used = true;
         self.connection.as_mut()
     }
 
-    /// Gives the connection back to the pool.
+    /// Releases the connection to the pool.
     pub fn release(mut self) {
         let Some(connection) = self.connection.take() else { return };
         let serve_at = self.pool.state.borrow_mut().release(Instant::now(), self.id, connection, self.used);
@@ -52,9 +53,9 @@
 impl Drop for PooledConnection {
     fn drop(&mut self) {
         let Some(connection) = self.connection.take() else { return };
-        // Its descriptor is free before another connection is dialled.
+        // Frees the descriptor before another connection is dialled.
         drop(connection);
-        let dial = self.pool.state.borrow_mut().closed(Instant::now(), self.id);
+        let dial = self.pool.state.borrow_mut().connection_closed(Instant::now(), self.id);
         if dial {
             self.pool.dial(self.id, self.address);
         }
--- a/crates/gateway/src/pool/preconnect.rs
+++ b/crates/gateway/src/pool/preconnect.rs
@@ -1,24 +1,25 @@
-//! Connections that are opened ahead of need: how many recent use of a backend asks for, and how fast they are opened.
+//! Connections that are opened ahead of demand: how many the recent use of a backend calls for, and at which rate they
+//! are opened.
 
 use super::settings::PoolSettings;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Use is averaged over about this time.
+/// The time constant of the exponential decay of recent use.
 const AVERAGING_TIME_S: f64 = 10.0;
 
 /// The recent use of one backend.
 #[derive(Debug, Clone, Default)]
 pub(super) struct RecentUse {
-    /// Requests, each counting less as it ages.
+    /// The number of requests, decayed exponentially.
     requests: f64,
-    /// The most at once, which decays at the same rate.
+    /// The peak of concurrent requests, decayed at the same rate.
     peak: f64,
     last_request: Option<Instant>,
 }
 
 impl RecentUse {
-    /// What is left by now of what was recorded.
+    /// Returns the decay factor since the last request.
     fn decay(&self, now: Instant) -> f64 {
         self.last_request.map_or(0.0, |at| {
             let elapsed_s = now.saturating_duration_since(at).as_secs_f64();
@@ -26,7 +27,7 @@
         })
     }
 
-    /// A request asks for a connection; with it so many are at the backend.
+    /// Records a request. `concurrent` is the number of requests at the backend or waiting for it, including this one.
     pub(super) fn record(&mut self, now: Instant, concurrent: usize) {
         let decay = self.decay(now);
         self.requests = self.requests * decay + 1.0;
@@ -34,13 +35,13 @@
         self.last_request = Some(now);
     }
 
-    /// When the backend was used last.
+    /// Returns when the backend was used last.
     pub(super) fn last_request(&self) -> Option<Instant> {
         self.last_request
     }
 
-    /// How many connections recent use asks for: as many as were in use at once, if an idle one would be used within
-    /// `idle_time`, after which it may be retired.
+    /// Returns how many connections recent use calls for: the decayed peak of concurrent requests, or 0 if requests are
+    /// so rare that an idle connection would not be used within `idle_time`, after which it may be retired.
     pub(super) fn wanted_connections(&self, now: Instant, idle_time: Duration) -> usize {
         let decay = self.decay(now);
         let requests_per_s = self.requests * decay / AVERAGING_TIME_S;
@@ -51,7 +52,7 @@
     }
 }
 
-/// A token bucket for all connections that are opened ahead of need.
+/// A token bucket that limits the rate of all connections opened ahead of demand.
 #[derive(Debug)]
 pub(super) struct PreconnectBucket {
     tokens: f64,
@@ -59,12 +60,13 @@
 }
 
 impl PreconnectBucket {
-    /// Starts with so many tokens. Gateways that start together should not all start with a full bucket.
+    /// Creates a bucket with `tokens` tokens. The caller chooses the number at random, so that gateways that start
+    /// together do not all have a full bucket.
     pub(super) fn new(tokens: f64) -> PreconnectBucket {
         PreconnectBucket { tokens, filled_at: None }
     }
 
-    /// Takes a token if there is one.
+    /// Takes a token if one is available.
     pub(super) fn try_take(&mut self, now: Instant, settings: &PoolSettings) -> bool {
         let filled_at = self.filled_at.replace(now).unwrap_or(now);
         let elapsed_s = now.saturating_duration_since(filled_at).as_secs_f64();
--- a/crates/gateway/src/pool/settings.rs
+++ b/crates/gateway/src/pool/settings.rs
@@ -5,73 +5,72 @@
 use std::fmt::Debug;
 use std::time::Duration;
 
-/// Connections that all gateways together may hold at one backend where the section does not say: each gateway gets
-/// its part of them.
-const DEFAULT_FLEET_CONNECTIONS: usize = 1_200;
-/// The smallest part that a gateway gets of them by default, so that two requests can be out at once and a third one
-/// need not wait for a handshake behind both.
-const MIN_DEFAULT_PART: usize = 4;
-/// Backends to which idle connections are kept by default: a subset of a large fleet, all of a small one.
+/// Default limit on the connections of all gateways together to one backend. Each gateway gets an equal share.
+const DEFAULT_FLEET_BACKEND_CONNECTIONS: usize = 1_200;
+/// The minimum of a gateway's default share, so that two requests can be in flight while a third one need not wait for
+/// a handshake behind both.
+const MIN_DEFAULT_BACKEND_CONNECTIONS: usize = 4;
+/// Default number of backends to which idle connections are kept: a subset of a large fleet, all of a small one.
 const DEFAULT_IDLE_BACKENDS: usize = 64;
 const DEFAULT_MIN_BACKOFF: Duration = Duration::from_millis(100);
 const DEFAULT_MAX_BACKOFF: Duration = Duration::from_secs(1);
 const DEFAULT_PRECONNECTS_PER_S: usize = 2;
 const DEFAULT_PRECONNECT_BURST: usize = 2;
-/// The shortest time that a setting may be.
+/// The minimum of all durations.
 const MIN_TIME: Duration = Duration::from_millis(1);
 
-/// The settings of the pool. All counts are at least one, and no minimum is above its maximum.
+/// The settings of the pool. All counts are at least one, and no minimum exceeds its maximum.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PoolSettings {
-    /// Connections to all backends together, those in use and those coming up included.
+    /// Maximum number of connections to all backends together, including those being dialled.
     pub max_connections: usize,
-    /// The adaptive limit on the connections to one backend never falls below this.
+    /// Minimum of the adaptive limit on the connections to one backend.
     pub min_backend_connections: usize,
-    /// It never rises above this, and starts here.
+    /// Maximum and initial value of the adaptive limit.
     pub max_backend_connections: usize,
-    /// Backends to which idle connections are kept: those used last.
+    /// Maximum number of backends to which idle connections are kept. The most recently used backends take precedence.
     pub max_idle_backends: usize,
-    /// An idle connection is retired at a random age from this one on.
+    /// Minimum idle time of a connection. It is retired at a random age between this and the maximum.
     pub min_idle_time: Duration,
-    /// It is retired by this age.
+    /// Maximum idle time of a connection.
     pub max_idle_time: Duration,
-    /// Requests that may wait for a connection, all together.
+    /// Maximum number of requests that wait for a connection to any backend.
     pub max_waiting: usize,
-    /// Requests that may wait for a connection to one backend.
+    /// Maximum number of requests that wait for a connection to one backend.
     pub max_backend_waiting: usize,
-    /// How long a request waits.
+    /// How long a request waits for a connection.
     pub wait_timeout: Duration,
-    /// The longest pause after a first failed dial.
+    /// Maximum pause after the first failed dial. Later pauses double it.
     pub min_backoff: Duration,
-    /// The pause doubles up to this.
+    /// Maximum pause after any failed dial.
     pub max_backoff: Duration,
-    /// Whether connections are opened ahead of need.
+    /// Whether connections are opened ahead of demand.
     pub preconnect: bool,
-    /// How many of these a second.
+    /// Maximum rate of connections opened ahead of demand, per second.
     pub preconnects_per_s: usize,
-    /// How many of these at once.
+    /// Maximum burst of connections opened ahead of demand.
     pub preconnect_burst: usize,
 }
 
-/// What else of the configuration bounds the pool.
+/// Values from other sections of the configuration that bound the pool.
 #[derive(Debug, Clone, Copy)]
 pub struct PoolEnvironment {
-    /// Connections to backends where the section does not say.
+    /// Default for the maximum number of connections.
     pub default_connections: usize,
-    /// The most that the limit on descriptors allows.
+    /// Maximum number of connections that the limit on descriptors allows.
     pub max_connections: usize,
     /// The number of gateways that share the backends.
     pub gateway_count: u32,
     /// The limit on descriptors.
     pub max_descriptors: usize,
-    /// A connection must come up within this time.
+    /// Time limit for establishing a connection.
     pub dial_timeout: Duration,
-    /// Backends close connections that were idle for this time.
+    /// Idle time after which backends close connections.
     pub backend_idle_timeout: Duration,
 }
 
 impl PoolSettings {
-    /// The settings that a section makes. What it does not name has a default that fits what it names.
+    /// Builds the settings from a section. Keys that are absent get a default that is consistent with the given ones.
     pub fn from_section(
         section: &PoolSection,
         environment: &PoolEnvironment,
@@ -80,9 +79,11 @@
         let time = |key: Option<Span>, default: Duration| key.map_or(default.max(MIN_TIME), Span::ms);
         let max_connections = count(section.links, environment.default_connections);
         let min_backend_connections = count(section.backend_least, 2.min(max_connections));
-        let default_part = default_part(environment.gateway_count, max_connections);
-        let default_part = default_part.max(min_backend_connections).min(max_connections);
-        let max_backend_connections = count(section.backend_most, default_part);
+        let default_backend_connections =
+            default_backend_connections(environment.gateway_count, max_connections);
+        let default_backend_connections =
+            default_backend_connections.max(min_backend_connections).min(max_connections);
+        let max_backend_connections = count(section.backend_most, default_backend_connections);
         let idle_timeout = environment.backend_idle_timeout;
         let min_idle_time = time(section.idle_least_ms, idle_timeout / 2);
         let max_waiting = count(section.waiting, max_connections);
@@ -113,36 +114,36 @@
         }
     }
 
-    /// Each value that is above another, by the keys of the configuration.
+    /// Returns one message for each value that exceeds its bound, with the keys of the configuration.
     fn problems(&self, environment: &PoolEnvironment) -> Vec<String> {
-        fn above<T: PartialOrd + Debug>(key: &str, value: T, bound: &str, max: T) -> Option<String> {
+        fn exceeds<T: PartialOrd + Debug>(key: &str, value: T, bound: &str, max: T) -> Option<String> {
             (value > max).then(|| format!("pool.{key}: {value:?} is over {bound}, {max:?}"))
         }
         let left_for_backends =
             format!("what limits.sockets, {}, leaves for backends", environment.max_descriptors);
         let idle_timeout = environment.backend_idle_timeout.max(MIN_TIME);
         let problems = [
-            above("links", self.max_connections, &left_for_backends, environment.max_connections),
-            above(
+            exceeds("links", self.max_connections, &left_for_backends, environment.max_connections),
+            exceeds(
                 "backend_least",
                 self.min_backend_connections,
                 "pool.backend_most",
                 self.max_backend_connections,
             ),
-            above("backend_most", self.max_backend_connections, "pool.links", self.max_connections),
-            above("idle_least_ms", self.min_idle_time, "pool.idle_most_ms", self.max_idle_time),
-            above("idle_most_ms", self.max_idle_time, "settings.bounds.conn_idle", idle_timeout),
-            above("backend_waiting", self.max_backend_waiting, "pool.waiting", self.max_waiting),
-            above("backoff_least_ms", self.min_backoff, "pool.backoff_most_ms", self.max_backoff),
+            exceeds("backend_most", self.max_backend_connections, "pool.links", self.max_connections),
+            exceeds("idle_least_ms", self.min_idle_time, "pool.idle_most_ms", self.max_idle_time),
+            exceeds("idle_most_ms", self.max_idle_time, "settings.bounds.conn_idle", idle_timeout),
+            exceeds("backend_waiting", self.max_backend_waiting, "pool.waiting", self.max_waiting),
+            exceeds("backoff_least_ms", self.min_backoff, "pool.backoff_most_ms", self.max_backoff),
         ];
         problems.into_iter().flatten().collect()
     }
 }
 
-/// The connections to one backend that a gateway of a fleet may hold by default.
-fn default_part(gateway_count: u32, max_connections: usize) -> usize {
-    let part = DEFAULT_FLEET_CONNECTIONS / gateway_count.max(1) as usize;
-    part.max(MIN_DEFAULT_PART).min(max_connections.div_ceil(2))
+/// Returns the default of the maximum number of connections to one backend.
+fn default_backend_connections(gateway_count: u32, max_connections: usize) -> usize {
+    let share = DEFAULT_FLEET_BACKEND_CONNECTIONS / gateway_count.max(1) as usize;
+    share.max(MIN_DEFAULT_BACKEND_CONNECTIONS).min(max_connections.div_ceil(2))
 }
 
 #[cfg(test)]
--- a/crates/gateway/src/pool/settings/tests.rs
+++ b/crates/gateway/src/pool/settings/tests.rs
@@ -13,7 +13,7 @@
     }
 }
 
-fn read(section: Value) -> Result<PoolSettings, String> {
+fn build(section: Value) -> Result<PoolSettings, String> {
     let (document, problems) = problems::read::<Document>(json!({"pool": section}), &["pool"]);
     match document.filter(|_| problems.is_empty()) {
         Some(document) => {
@@ -25,27 +25,32 @@
 
 #[test]
 fn default_limits_follow_the_fleet_size_and_the_descriptors() {
-    let large = read(json!({})).expect("defaults");
+    let large_fleet = build(json!({})).expect("valid defaults");
     assert_eq!(
-        (large.max_connections, large.min_backend_connections, large.max_backend_connections),
+        (
+            large_fleet.max_connections,
+            large_fleet.min_backend_connections,
+            large_fleet.max_backend_connections
+        ),
         (256, 2, 4)
     );
-    assert_eq!(large.max_idle_backends, 64, "a subset of a large fleet");
+    assert_eq!(large_fleet.max_idle_backends, 64, "a subset of a large fleet");
     assert_eq!(
-        (large.min_idle_time, large.max_idle_time),
+        (large_fleet.min_idle_time, large_fleet.max_idle_time),
         (Duration::from_secs(15), Duration::from_millis(22_500))
     );
-    let few = PoolSettings::from_section(&PoolSection::default(), &environment(3, 256)).expect("defaults");
-    assert_eq!(few.max_backend_connections, 128, "half of the connections at most");
+    let small_fleet =
+        PoolSettings::from_section(&PoolSection::default(), &environment(3, 256)).expect("defaults");
+    assert_eq!(small_fleet.max_backend_connections, 128, "half of the connections at most");
     for links in 1..20 {
-        let small = PoolSettings::from_section(&PoolSection::default(), &environment(300, links));
-        assert!(small.is_ok(), "defaults fit however few there are: {links}");
+        let few_connections = PoolSettings::from_section(&PoolSection::default(), &environment(300, links));
+        assert!(few_connections.is_ok(), "defaults are valid for any number of connections: {links}");
     }
 }
 
 #[test]
 fn an_invalid_section_is_reported_in_one_line_that_names_the_key() {
-    for (section, line) in [
+    for (section, message) in [
         (json!({"link": 3}), "pool.link: unknown; known are links, "),
         (json!({"links": 0}), "pool.links: expected a whole number from 1 to 1000000, found 0"),
         (json!({"wait_ms": 0}), "pool.wait_ms: expected a whole number from 1 to 3600000, found 0"),
@@ -72,8 +77,8 @@
         (json!({"backoff_least_ms": 9, "backoff_most_ms": 8}), "pool.backoff_least_ms: 9ms is over"),
         (json!([]), "pool: expected an object, found []"),
     ] {
-        let told = read(section.clone()).err().unwrap_or_default();
-        assert!(told.starts_with(line) && (told.is_empty() == line.is_empty()), "{section}: {told}");
-        assert!(!told.contains('\n'), "{told}");
+        let error = build(section.clone()).err().unwrap_or_default();
+        assert!(error.starts_with(message) && (error.is_empty() == message.is_empty()), "{section}: {error}");
+        assert!(!error.contains('\n'), "{error}");
     }
 }
--- a/crates/gateway/src/pool/state.rs
+++ b/crates/gateway/src/pool/state.rs
@@ -1,13 +1,14 @@
-//! The state of the pool: which request gets which connection, which ones wait, and when a connection is dialled. It
-//! has no socket, timer or task; it is told the time, and the same calls with the same seed have the same results.
+//! The state machine of the pool: which request gets which connection, which requests wait, and when a connection is
+//! dialled. It does no I/O and has no timers or tasks: callers pass the time in, and the same calls with the same seed
+//! produce the same results.
 //!
 //! | module | job |
 //! | --- | --- |
-//! | `checkout` | a request asks for a connection, waits, and gets one or none |
-//! | `release` | a connection is released or closed |
-//! | `dial` | connections that are coming up |
+//! | `checkout` | requests that check out a connection or wait for one |
+//! | `release` | connections that are released or closed |
+//! | `dial` | connections that are being dialled |
 //! | `eviction` | idle connections that are closed to stay within the limits |
-//! | `preconnect` | connections that are opened ahead of need |
+//! | `preconnect` | connections that are opened ahead of demand |
 
 mod checkout;
 mod dial;
@@ -29,7 +30,7 @@
 use std::collections::HashMap;
 use tokio::time::Instant;
 
-/// The state of the pool.
+/// The state machine of the pool.
 pub struct PoolState<C> {
     settings: PoolSettings,
     rng: fastrand::Rng,
@@ -37,15 +38,15 @@
     last_incarnation: IncarnationId,
     gauges: Gauges,
     counters: Counters,
-    /// Backends with idle connections.
+    /// The number of backends with idle connections.
     backends_with_idle: usize,
     preconnect_bucket: PreconnectBucket,
-    /// Nothing is kept idle any more.
+    /// Whether the pool was stopped and keeps no idle connections.
     stopped: bool,
 }
 
 impl<C: Poolable> PoolState<C> {
-    /// A pool without backends.
+    /// Creates a pool without backends.
     pub fn new(settings: PoolSettings, seed: u64) -> PoolState<C> {
         let mut rng = fastrand::Rng::with_seed(seed);
         let preconnect_bucket = PreconnectBucket::new(rng.f64() * settings.preconnect_burst as f64);
@@ -62,39 +63,39 @@
         }
     }
 
-    /// The settings in force.
+    /// Returns the settings in force.
     pub fn settings(&self) -> &PoolSettings {
         &self.settings
     }
 
-    /// The present state in figures.
+    /// Returns the current gauges.
     pub fn gauges(&self) -> Gauges {
         self.gauges
     }
 
-    /// Totals since the start.
+    /// Returns the totals since the start.
     pub fn counters(&self) -> Counters {
         self.counters
     }
 
-    /// How many connections a backend takes.
+    /// Returns the adaptive limit on the connections to a backend.
     pub fn connection_limit(&self, id: IncarnationId) -> Option<usize> {
         self.backends.get(&id).map(|backend| backend.limit.connections())
     }
 
-    /// How many connections to a backend are held.
+    /// Returns the number of connections to a backend, including those being dialled.
     pub fn held(&self, id: IncarnationId) -> Option<usize> {
         self.backends.get(&id).map(BackendState::held)
     }
 
-    /// How many connections to a backend are coming up.
+    /// Returns the number of connections to a backend that are being dialled.
     pub fn dialling(&self, id: IncarnationId) -> usize {
         self.backends.get(&id).map_or(0, |backend| backend.dialling)
     }
 
-    /// Adds a backend. One that follows an earlier incarnation is wanted as much as that was.
-    pub fn add(&mut self, follows: Option<IncarnationId>) -> IncarnationId {
-        let predecessor = follows.and_then(|id| self.backends.get(&id));
+    /// Adds a backend. It inherits the recent use of its earlier incarnation, if there is one.
+    pub fn add(&mut self, predecessor_id: Option<IncarnationId>) -> IncarnationId {
+        let predecessor = predecessor_id.and_then(|id| self.backends.get(&id));
         let recent_use = predecessor.map(|backend| backend.recent_use.clone()).unwrap_or_default();
         self.last_incarnation.0 += 1;
         let backend = BackendState::new(&self.settings, recent_use);
@@ -102,7 +103,7 @@
         self.last_incarnation
     }
 
-    /// Takes a backend out of service: its idle connections are closed. Returns the requests that waited for one.
+    /// Takes a backend out of service and closes its idle connections. Returns the requests that waited for one.
     pub fn close(&mut self, id: IncarnationId) -> Vec<WaiterId> {
         self.close_all_idle(id);
         let Some(backend) = self.backends.get_mut(&id) else { return Vec::new() };
@@ -113,7 +114,7 @@
         waiters
     }
 
-    /// Closes all idle connections; from now on none is kept.
+    /// Closes all idle connections. From now on, released connections are closed as well.
     pub fn stop(&mut self) {
         self.stopped = true;
         let all: Vec<IncarnationId> = self.backends.keys().copied().collect();
@@ -122,7 +123,7 @@
         }
     }
 
-    /// Puts new settings in force. Connections in use stay until they are released.
+    /// Applies new settings. Connections in use stay open until they are released.
     pub fn configure(&mut self, settings: PoolSettings) {
         self.settings = settings;
         self.backends.values_mut().for_each(|backend| backend.limit.configure(&settings));
@@ -130,7 +131,7 @@
         self.evict_to_backend_limit();
     }
 
-    /// A backend answered a request with success.
+    /// Records that a backend responded successfully to a request.
     pub fn request_succeeded(&mut self, now: Instant, id: IncarnationId) {
         let jitter = self.rng.f64();
         if let Some(backend) = self.backends.get_mut(&id) {
@@ -140,7 +141,7 @@
         }
     }
 
-    /// A backend rejected a request.
+    /// Records that a backend rejected a request.
     pub fn request_rejected(&mut self, now: Instant, id: IncarnationId) {
         if let Some(backend) = self.backends.get_mut(&id) {
             backend.limit.request_rejected(now, backend.in_use, &self.settings);
@@ -148,22 +149,22 @@
         }
     }
 
-    /// A backend responded in another way.
+    /// Records that a backend responded in any other way.
     pub fn backend_responded(&mut self, id: IncarnationId) {
         if let Some(backend) = self.backends.get_mut(&id) {
             backend.responded();
         }
     }
 
-    /// An attempt timed out without a byte from its backend.
+    /// Records that an attempt timed out without receiving a byte from the backend.
     pub fn timed_out_silently(&mut self, id: IncarnationId) {
         if let Some(backend) = self.backends.get_mut(&id) {
             backend.timed_out_silently();
         }
     }
 
-    /// Changes a backend's idle connections and keeps the figures of the pool in step. Returns by how many these
-    /// became fewer, and the result.
+    /// Changes a backend's idle connections and updates the gauges of the pool. Returns the number of connections
+    /// removed and the result of `change`.
     fn change_idle<R>(
         &mut self,
         id: IncarnationId,
@@ -179,7 +180,7 @@
         Some((before.saturating_sub(after), result))
     }
 
-    /// Forgets a backend that is out of service, once no connection is out.
+    /// Removes a backend that is out of service, once no connection is in use or being dialled.
     fn forget_if_finished(&mut self, id: IncarnationId) {
         if self.backends.get(&id).is_some_and(BackendState::is_finished) {
             self.backends.remove(&id);
--- a/crates/gateway/src/pool/state/checkout.rs
+++ b/crates/gateway/src/pool/state/checkout.rs
@@ -1,4 +1,4 @@
-//! A request asks for a connection, waits, and gets one or none.
+//! Requests that check out a connection or wait for one.
 
 use super::PoolState;
 use crate::pool::error::CheckoutError;
@@ -6,39 +6,39 @@
 use crate::pool::poolable::Poolable;
 use tokio::time::Instant;
 
-/// The answer to a request that asks for a connection.
+/// The result of [`PoolState::checkout`].
 #[derive(Debug, PartialEq)]
 pub enum Checkout<C> {
-    /// A connection that was idle.
+    /// The request gets an idle connection.
     Idle(C),
-    /// The request waits. The caller does what the fields say.
+    /// The request waits. The caller must do what the fields require.
     Wait {
-        /// Dial a connection.
+        /// Whether the caller must dial a connection.
         dial: bool,
-        /// Call [`PoolState::serve_waiter`] then, as an idle connection settles.
+        /// When the caller must call [`PoolState::serve_waiter`], because an idle connection settles.
         serve_at: Option<Instant>,
     },
-    /// None.
+    /// The request gets no connection.
     Denied(CheckoutError),
 }
 
-/// What is to be done for the requests that still wait.
+/// What the caller must do for the requests that still wait.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct NextStep {
-    /// Dial a connection.
+    /// Whether the caller must dial a connection.
     pub dial: bool,
-    /// Call [`PoolState::serve_waiter`] then.
+    /// When the caller must call [`PoolState::serve_waiter`].
     pub serve_at: Option<Instant>,
 }
 
 impl<C: Poolable> PoolState<C> {
-    /// A request asks for a connection.
+    /// Checks out a connection for a request.
     pub fn checkout(&mut self, now: Instant, id: IncarnationId, waiter: WaiterId) -> Checkout<C> {
         let Some(backend) = self.backends.get_mut(&id).filter(|backend| backend.in_service) else {
             return self.deny(CheckoutError::BackendClosed);
         };
         backend.recent_use.record(now, backend.in_use + backend.waiting.len() + 1);
-        // Those that wait go first.
+        // Requests that already wait go first.
         if backend.waiting.is_empty() {
             if let Some(connection) = self.take_idle(now, id) {
                 return Checkout::Idle(connection);
@@ -49,19 +49,19 @@
         }
         self.enqueue(id, waiter);
         let dial = self.dial_for_waiters(now, id);
-        // The backend has no connection and gets none: the descriptors are in use elsewhere.
+        // The backend has no connection and cannot get one, because connections to other backends use up the limit.
         if self.held(id) == Some(0) {
-            self.leave(id, waiter);
+            self.remove_waiter(id, waiter);
             return self.deny(CheckoutError::PoolExhausted);
         }
         let serve_at = self.backends.get(&id).and_then(|backend| backend.next_settled_at());
         Checkout::Wait { dial, serve_at }
     }
 
-    /// Whether another request may wait for a connection to a backend.
+    /// Returns an error if no further request may wait for a connection to a backend.
     fn may_wait(&self, now: Instant, id: IncarnationId) -> Result<(), CheckoutError> {
         let backend = self.backends.get(&id).ok_or(CheckoutError::BackendClosed)?;
-        if backend.backoff.is_failing() && backend.has_none_up() && !backend.may_dial(now) {
+        if backend.backoff.is_failing() && backend.has_no_established_connection() && !backend.may_dial(now) {
             return Err(CheckoutError::Unreachable);
         }
         if backend.waiting.len() >= self.settings.max_backend_waiting {
@@ -85,7 +85,7 @@
         Checkout::Denied(error)
     }
 
-    /// Takes an idle connection for a request.
+    /// Takes an idle connection and counts it as in use.
     fn take_idle(&mut self, now: Instant, id: IncarnationId) -> Option<C> {
         if self.backends.get(&id)?.is_unresponsive() {
             return None;
@@ -100,8 +100,8 @@
         Some(connection)
     }
 
-    /// A request waits no longer: it gave up or has its connection.
-    pub fn leave(&mut self, id: IncarnationId, waiter: WaiterId) {
+    /// Removes a waiting request, because it gave up or has got a connection.
+    pub fn remove_waiter(&mut self, id: IncarnationId, waiter: WaiterId) {
         let Some(backend) = self.backends.get_mut(&id) else { return };
         if let Some(index) = backend.waiting.iter().position(|&waiting| waiting == waiter) {
             backend.waiting.remove(index);
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Why a request whose time to wait is over got no connection.
+    /// Returns the reason why a request got no connection before its wait timed out.
     pub fn wait_timed_out(&mut self, id: IncarnationId) -> CheckoutError {
         self.counters.denied += 1;
         let is_reachable =
@@ -120,22 +120,22 @@
         }
     }
 
-    /// Gives an idle connection that has settled to the request that has waited longest. Call it until it returns
-    /// `None`.
+    /// Grants a settled idle connection to the request that has waited longest. The caller must repeat the call until it
+    /// returns `None`.
     pub fn serve_waiter(&mut self, now: Instant, id: IncarnationId) -> Option<(WaiterId, C)> {
         let waiter = *self.backends.get(&id)?.waiting.front()?;
         let connection = self.take_idle(now, id)?;
-        self.leave(id, waiter);
+        self.remove_waiter(id, waiter);
         Some((waiter, connection))
     }
 
-    /// What is to be done for the requests that still wait after [`Self::serve_waiter`].
+    /// Returns what the caller must do for the requests that still wait after [`Self::serve_waiter`].
     pub fn next_step(&mut self, now: Instant, id: IncarnationId) -> NextStep {
         let dial = self.dial_for_waiters(now, id);
         NextStep { dial, serve_at: self.next_serve_at(id) }
     }
 
-    /// When the next idle connection settles, if a request waits for it.
+    /// Returns when the next idle connection settles, if a request waits for one.
     pub(super) fn next_serve_at(&self, id: IncarnationId) -> Option<Instant> {
         let backend = self.backends.get(&id)?;
         if backend.waiting.is_empty() {
--- a/crates/gateway/src/pool/state/dial.rs
+++ b/crates/gateway/src/pool/state/dial.rs
@@ -1,4 +1,4 @@
-//! Connections that are coming up.
+//! Connections that are being dialled.
 
 use super::PoolState;
 use crate::pool::error::DialError;
@@ -6,33 +6,35 @@
 use crate::pool::poolable::Poolable;
 use tokio::time::Instant;
 
-/// What follows from the end of a dial.
+/// The result of [`PoolState::dial_ended`].
 #[derive(Debug, PartialEq)]
 pub struct DialResult<C> {
-    /// The connection goes to this request.
+    /// The request that gets the connection, if one waits.
     pub granted: Option<(WaiterId, C)>,
-    /// These requests wait no longer: the backend is unreachable.
+    /// The requests that get no connection, because the backend is unreachable.
     pub denied: Vec<WaiterId>,
-    /// Another connection is to be dialled.
+    /// Whether the caller must dial another connection.
     pub dial: bool,
 }
 
 impl<C: Poolable> PoolState<C> {
-    /// Whether a connection is to be dialled for the requests that wait; if so it is entered. One dial for one
-    /// request: a connection that settles or comes up is for one of them already.
+    /// Begins a dial if there are more waiting requests than connections that are idle or being dialled. Returns whether
+    /// the caller must dial. There is one dial per request: each connection that settles or is being dialled already
+    /// serves one of them.
     pub(super) fn dial_for_waiters(&mut self, now: Instant, id: IncarnationId) -> bool {
         let Some(backend) = self.backends.get(&id) else { return false };
         backend.in_service
-            && backend.waiting.len() > backend.expected()
+            && backend.waiting.len() > backend.expected_connections()
             && backend.may_dial(now)
             && self.begin_dial(id)
     }
 
-    /// Enters a dial, if the limits allow one more connection or an idle one can be closed for it.
+    /// Counts a new dial if the limits allow another connection or an idle one can be closed for it. Returns whether the
+    /// caller must dial.
     pub(super) fn begin_dial(&mut self, id: IncarnationId) -> bool {
         let Some(backend) = self.backends.get(&id) else { return false };
         if backend.is_unresponsive() && backend.is_at_limit() && !backend.idle.is_empty() {
-            // Idle connections that may not be used give way to the one that may show that the backend is there.
+            // An unusable idle connection is closed in favour of one that may prove that the backend is reachable.
             self.change_idle(id, |idle| idle.close_first_released());
             self.counters.evicted += 1;
         }
@@ -49,7 +51,7 @@
         true
     }
 
-    /// A dial has ended.
+    /// Processes the end of a dial.
     pub fn dial_ended(
         &mut self,
         now: Instant,
@@ -71,7 +73,7 @@
         backend.dialling -= 1;
         backend.backoff.succeeded();
         backend.responded();
-        // It counts as in use until the request that has waited longest or the pool has it.
+        // The connection counts as in use until it is granted to the longest waiting request or released to the pool.
         backend.in_use += 1;
         self.gauges.in_use += 1;
         if let Some(waiter) = backend.waiting.pop_front() {
@@ -83,25 +85,25 @@
         None
     }
 
-    /// Starts the pause before the next dial and returns the requests that wait no longer.
+    /// Starts the pause before the next dial and returns the requests that get no connection.
     fn dial_failed(&mut self, now: Instant, id: IncarnationId, error: DialError) -> Vec<WaiterId> {
         self.counters.failed += 1;
         let jitter = self.rng.f64();
         let Some(backend) = self.backends.get_mut(&id) else { return Vec::new() };
         backend.dialling -= 1;
         backend.backoff.failed(now, jitter, &self.settings);
-        let connections_up = backend.idle.len() + backend.in_use;
+        let established = backend.idle.len() + backend.in_use;
         match error {
-            DialError::Refused if connections_up > 0 => {
-                backend.limit.dial_refused(now, connections_up, &self.settings);
+            DialError::Refused if established > 0 => {
+                backend.limit.dial_refused(now, established, &self.settings);
             }
             DialError::Refused => {}
             DialError::TimedOut => backend.timed_out_silently(),
         }
-        // While connections are up, one may become free for those that wait. Else the request for which this one was
-        // dialled has nothing to wait for, nor have those for which none is being dialled.
+        // An established connection may become free for the waiting requests. If there is none, the request for which
+        // this connection was dialled is denied, and so are the requests for which no other dial is in progress.
         let mut denied = Vec::new();
-        if backend.has_none_up() {
+        if backend.has_no_established_connection() {
             denied.extend(backend.waiting.pop_front());
             let without_dial = backend.waiting.len().saturating_sub(backend.dialling);
             denied.extend(backend.waiting.drain(..without_dial));
--- a/crates/gateway/src/pool/state/eviction.rs
+++ b/crates/gateway/src/pool/state/eviction.rs
@@ -1,4 +1,4 @@
-//! Idle connections that are closed to stay within the limits, or for their age.
+//! Closes idle connections that exceed a limit or are too old.
 
 use super::PoolState;
 use crate::pool::id::IncarnationId;
@@ -6,17 +6,17 @@
 use tokio::time::Instant;
 
 impl<C: Poolable> PoolState<C> {
-    /// Closes idle connections while there are more connections than allowed.
+    /// Closes idle connections until the limit on all connections is met.
     pub(super) fn evict_to_connection_limit(&mut self) {
         while self.gauges.open() > self.settings.max_connections && self.evict_longest_idle() {}
     }
 
-    /// Closes idle connections while more backends have some than allowed.
+    /// Closes idle connections until the limit on backends with idle connections is met.
     pub(super) fn evict_to_backend_limit(&mut self) {
         while self.backends_with_idle > self.settings.max_idle_backends && self.evict_least_recently_used() {}
     }
 
-    /// Closes the connection that has been idle longest; returns whether there was one.
+    /// Closes the connection that has been idle longest. Returns whether there was one.
     pub(super) fn evict_longest_idle(&mut self) -> bool {
         let candidates = self.backends.iter();
         let oldest =
@@ -27,7 +27,7 @@
         true
     }
 
-    /// Closes the idle connections to the backend that was used the longest ago; returns whether there was one.
+    /// Closes the idle connections to the least recently used backend. Returns whether there was one.
     fn evict_least_recently_used(&mut self) -> bool {
         let with_idle = self.backends.iter().filter(|(_, backend)| !backend.idle.is_empty());
         let oldest = with_idle.map(|(&id, backend)| (backend.recent_use.last_request(), id)).min();
@@ -36,7 +36,7 @@
         true
     }
 
-    /// Closes a backend's idle connections and returns how many there were.
+    /// Closes a backend's idle connections and returns their number.
     pub(super) fn close_all_idle(&mut self, id: IncarnationId) -> usize {
         self.change_idle(id, |idle| idle.close_all()).map_or(0, |(closed, ())| closed)
     }
--- a/crates/gateway/src/pool/state/preconnect.rs
+++ b/crates/gateway/src/pool/state/preconnect.rs
@@ -1,4 +1,4 @@
-//! Connections that are opened ahead of need.
+//! Connections that are opened ahead of demand.
 
 use super::PoolState;
 use crate::pool::id::IncarnationId;
@@ -7,7 +7,7 @@
 use tokio::time::Instant;
 
 impl<C: Poolable> PoolState<C> {
-    /// Whether recent use of a backend asks for more connections than there are.
+    /// Returns whether the recent use of a backend calls for more connections than it has.
     pub fn wants_preconnect(&self, now: Instant, id: IncarnationId) -> bool {
         let Some(backend) = self.backends.get(&id) else { return false };
         if !backend.in_service || self.stopped {
@@ -19,8 +19,8 @@
             && !backend.is_unresponsive()
     }
 
-    /// Of backends that want more connections, chooses those that get one now, each after a random delay within
-    /// `spread`. The order is random, so that gateways differ.
+    /// Chooses the backends among `wanting` that get a connection now, each after a random delay of at most `spread`. The
+    /// order is random, so that different gateways choose different backends.
     pub fn choose_preconnects(
         &mut self,
         now: Instant,
@@ -38,8 +38,8 @@
         chosen
     }
 
-    /// After the delay: whether the connection is still wanted, and none has to be closed for it. If so its dial is
-    /// entered.
+    /// Begins a preconnect after its delay, if the connection is still wanted and no other one has to be closed for it.
+    /// Returns whether the caller must dial.
     pub fn begin_preconnect(&mut self, now: Instant, id: IncarnationId) -> bool {
         let wanted = self.wants_preconnect(now, id) && self.gauges.open() < self.settings.max_connections;
         let begun = wanted && self.begin_dial(id);
--- a/crates/gateway/src/pool/state/release.rs
+++ b/crates/gateway/src/pool/state/release.rs
@@ -1,4 +1,4 @@
-//! A connection is released after its request, or closed.
+//! Connections that are released after their request, or closed.
 
 use super::PoolState;
 use crate::pool::id::IncarnationId;
@@ -6,13 +6,13 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The pause after a response before its connection is used again. Guards against bytes right behind a response that
-/// arrive after the socket was checked, and would pass for the response to the next request.
+/// The pause after a response before its connection is used again. Without it, excess bytes that follow a response but
+/// arrive only after the socket was checked could be mistaken for the response to the next request.
 pub const SETTLE_TIME: Duration = Duration::from_millis(5);
 
 impl<C: Poolable> PoolState<C> {
-    /// A connection is released. `used`: a request was written to it, so it must settle before it is used again.
-    /// Returns when [`Self::serve_waiter`] is to be called, if a request waits for it.
+    /// Releases a connection. If it is `used`, a request was written to it and it must settle before it is used again.
+    /// Returns when the caller must call [`Self::serve_waiter`], if a request waits for a connection.
     pub fn release(
         &mut self,
         now: Instant,
@@ -38,9 +38,9 @@
         self.next_serve_at(id)
     }
 
-    /// A connection that carried a request was closed. Returns whether another is to be dialled for a request that
-    /// waits.
-    pub fn closed(&mut self, now: Instant, id: IncarnationId) -> bool {
+    /// Records that a checked-out connection was closed. Returns whether the caller must dial another one for a waiting
+    /// request.
+    pub fn connection_closed(&mut self, now: Instant, id: IncarnationId) -> bool {
         self.gauges.in_use -= 1;
         if let Some(backend) = self.backends.get_mut(&id) {
             backend.in_use -= 1;
--- a/crates/gateway/src/pool/stats.rs
+++ b/crates/gateway/src/pool/stats.rs
@@ -1,21 +1,21 @@
-//! What the pool counts.
+//! Counters and gauges of the pool.
 
 /// Totals since the start.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub struct Counters {
-    /// Connections given to requests.
+    /// Connections that requests got.
     pub used: u64,
-    /// Those among them that had been idle.
+    /// Connections that requests got and that had been idle in the pool.
     pub reused: u64,
-    /// Connections that were to be opened, including those ahead of need.
+    /// Dials that were started, including those ahead of demand.
     pub dials: u64,
-    /// Connections that were to be opened ahead of need.
+    /// Dials that were started ahead of demand.
     pub preconnected: u64,
     /// Dials that failed.
     pub failed: u64,
-    /// Idle connections found closed, written to or too old when a request was to have them.
+    /// Idle connections that were found unusable at checkout: closed, with unread data, or too old.
     pub stale: u64,
-    /// Idle connections closed for their age, or after their backend had closed them.
+    /// Idle connections closed because of their age or because their backend had closed them.
     pub retired: u64,
     /// Idle connections closed to stay within a limit.
     pub evicted: u64,
@@ -23,21 +23,21 @@
     pub denied: u64,
 }
 
-/// The present state.
+/// The current state.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub struct Gauges {
     /// Idle connections.
     pub idle: usize,
-    /// Connections that carry a request.
+    /// Connections that are checked out for a request.
     pub in_use: usize,
-    /// Connections that are coming up.
+    /// Connections that are being dialled.
     pub dialling: usize,
     /// Requests that wait for a connection.
     pub waiting: usize,
 }
 
 impl Gauges {
-    /// All descriptors held.
+    /// Returns the number of connections that hold a descriptor.
     pub fn open(&self) -> usize {
         self.idle + self.in_use + self.dialling
     }
--- a/crates/gateway/src/pool/usage_log.rs
+++ b/crates/gateway/src/pool/usage_log.rs
@@ -1,4 +1,4 @@
-//! Logs the pool's figures, once in a while and only where they changed.
+//! Logs the pool usage at a limited rate and only when it changed.
 
 use super::stats::{Counters, Gauges};
 use std::cell::Cell;
@@ -6,10 +6,10 @@
 use tokio::time::Instant;
 use tracing::info;
 
-/// The figures are logged this often at most.
+/// The minimum interval between log lines.
 const MIN_INTERVAL: Duration = Duration::from_secs(10);
 
-/// What was logged last, and when.
+/// The counters that were logged last, and when.
 #[derive(Default)]
 pub(super) struct UsageLog {
     counters: Cell<Counters>,
@@ -17,7 +17,7 @@
 }
 
 impl UsageLog {
-    /// Logs the figures if they changed and the last line is old enough.
+    /// Logs the pool usage if the counters changed and [`MIN_INTERVAL`] has passed since the last log line.
     pub(super) fn log(&self, counters: Counters, gauges: Gauges) {
         let now = Instant::now();
         if self.logged_at.get().is_none_or(|at| now >= at + MIN_INTERVAL) {
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Logs the figures if they changed.
+    /// Logs the pool usage if the counters changed.
     pub(super) fn log_now(&self, counters: Counters, gauges: Gauges) {
         if counters == self.counters.get() {
             return;
--- a/crates/gateway/src/pool/waiting.rs
+++ b/crates/gateway/src/pool/waiting.rs
@@ -1,4 +1,4 @@
-//! Requests that wait for a connection, and how each learns of its own.
+//! Requests that wait for a connection, and how they are notified.
 
 use super::error::CheckoutError;
 use super::id::{IncarnationId, WaiterId};
@@ -12,7 +12,7 @@
 /// The result of a checkout.
 pub(super) type CheckoutResult = Result<PooledConnection, CheckoutError>;
 
-/// The requests that wait, by their numbers.
+/// The senders that notify waiting requests.
 #[derive(Default)]
 pub(super) struct Waiters {
     senders: RefCell<HashMap<WaiterId, oneshot::Sender<CheckoutResult>>>,
@@ -20,21 +20,21 @@
 }
 
 impl Waiters {
-    /// A new number for a request.
+    /// Returns a new id for a request.
     pub(super) fn next_id(&self) -> WaiterId {
         let id = self.last.get();
         self.last.set(WaiterId(id.0 + 1));
         id
     }
 
-    /// Adds a request that waits.
+    /// Adds a waiting request. Returns the receiver of its connection or error.
     pub(super) fn add(&self, waiter: WaiterId) -> oneshot::Receiver<CheckoutResult> {
         let (sender, receiver) = oneshot::channel();
         self.senders.borrow_mut().insert(waiter, sender);
         receiver
     }
 
-    /// Gives a request its connection, which goes back to the pool if the request waits no longer.
+    /// Grants a connection to a request. The connection is released to the pool if the request no longer waits.
     pub(super) fn grant(&self, waiter: WaiterId, connection: PooledConnection) {
         let sender = self.senders.borrow_mut().remove(&waiter);
         let Some(sender) = sender else { return connection.release() };
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Tells requests that they get no connection.
+    /// Sends an error to requests that get no connection.
     pub(super) fn deny(&self, waiters: Vec<WaiterId>, error: CheckoutError) {
         for waiter in waiters {
             let sender = self.senders.borrow_mut().remove(&waiter);
@@ -59,8 +59,8 @@
     }
 }
 
-/// One request's wait. Where it is dropped, the request waits no longer, and a connection that was granted meanwhile
-/// goes back to the pool unused.
+/// The wait of one request. Dropping it removes the request from the queue and releases a connection that was granted
+/// but not received.
 pub(super) struct Wait<'a> {
     pool: &'a Rc<Pool>,
     id: IncarnationId,
@@ -77,7 +77,7 @@
 impl Drop for Wait<'_> {
     fn drop(&mut self) {
         self.pool.waiters.remove(self.waiter);
-        self.pool.state.borrow_mut().leave(self.id, self.waiter);
+        self.pool.state.borrow_mut().remove_waiter(self.id, self.waiter);
         if let Ok(Ok(connection)) = self.result.try_recv() {
             connection.release();
         }
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -1,12 +1,12 @@
-//! Streams: responses and uploads that are passed on as they arrive.
+//! Streams: responses and uploads that are forwarded as they arrive.
 //!
 //! | module | job |
 //! | --- | --- |
 //! | `settings` | the `streaming` section of the configuration |
-//! | `limits` | the settings in force, and the memory of all streams |
-//! | `response` | a backend's response under way |
+//! | `limits` | the settings in force and the memory limit of all streams |
+//! | `response` | a backend's response that is being streamed |
 //! | `client_body` | the body of a response to a client |
-//! | `upload` | a client's upload, which several attempts may carry |
+//! | `upload` | a client's upload, which several attempts may send |
 
 mod client_body;
 mod limits;
@@ -16,7 +16,7 @@
 
 pub use client_body::{ClientBody, StreamObserver};
 pub use limits::StreamLimits;
-pub use response::{BrokenOff, ServedBody, StreamedBody, StreamedBodyParams};
+pub use response::{IncompleteResponse, ServedBody, StreamedBody, StreamedBodyParams};
 pub use settings::StreamSettings;
 pub use upload::{SendState, Upload, UploadReader, UploadSource};
 
--- a/crates/gateway/src/relay/client_body.rs
+++ b/crates/gateway/src/relay/client_body.rs
@@ -1,6 +1,6 @@
-//! The body of a response to a client.
+//! The body of a response to a client, complete or streamed.
 
-use super::response::{BrokenOff, StreamedBody};
+use super::response::{IncompleteResponse, StreamedBody};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::{Body, Frame, SizeHint};
@@ -8,19 +8,19 @@
 use std::pin::Pin;
 use std::task::{Context, Poll};
 
-/// Observes a streamed response. It is dropped when the stream ends.
+/// Observes a streamed response. The observer is dropped when the stream ends.
 pub trait StreamObserver {
-    /// So many bytes were handed to the protocol.
+    /// Records that `bytes` bytes were handed to the protocol.
     fn bytes_sent(&self, bytes: u64);
-    /// Whether the stream is aborted because it is too slow.
+    /// Returns whether the stream is aborted because the transfer is too slow.
     fn is_too_slow(&self) -> bool;
 }
 
 /// The body of a response to a client.
 pub enum ClientBody<O: StreamObserver> {
-    /// All of it.
+    /// The complete body.
     Complete(Full<Bytes>),
-    /// It is still arriving.
+    /// A body that is still arriving from the backend.
     Streamed(Box<StreamedBody>, O),
 }
 
@@ -34,12 +34,12 @@
 
 impl<O: StreamObserver + Unpin> Body for ClientBody<O> {
     type Data = Bytes;
-    type Error = BrokenOff;
+    type Error = IncompleteResponse;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BrokenOff>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, IncompleteResponse>>> {
         match self.get_mut() {
             ClientBody::Complete(body) => {
                 let never = |error: Infallible| match error {};
--- a/crates/gateway/src/relay/limits.rs
+++ b/crates/gateway/src/relay/limits.rs
@@ -1,22 +1,22 @@
-//! What all streams share: their settings, and the memory that they may hold together.
+//! The settings and the memory limit that all streams share.
 
 use super::settings::{StreamSettings, MEMORY_DIVISOR};
 use std::cell::Cell;
 use std::sync::Arc;
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
-/// What all streams share.
+/// The settings and the memory limit that all streams share.
 pub struct StreamLimits {
     settings: Cell<Option<StreamSettings>>,
-    /// The last settings there were, for streams that are still under way.
+    /// The last settings that were not `None`, for streams that have not ended yet.
     last_settings: Cell<Option<StreamSettings>>,
-    /// A permit for each byte.
+    /// One permit per byte.
     memory: Arc<Semaphore>,
     memory_bytes: usize,
 }
 
 impl StreamLimits {
-    /// Streams with these settings. `gateway_memory_bytes` is the memory of the whole gateway.
+    /// Creates the limits. `gateway_memory_bytes` is the memory limit of the entire gateway.
     pub fn new(settings: Option<StreamSettings>, gateway_memory_bytes: usize) -> StreamLimits {
         let memory_bytes = gateway_memory_bytes / MEMORY_DIVISOR;
         StreamLimits {
@@ -27,30 +27,30 @@
         }
     }
 
-    /// The settings in force; `None` where nothing is streamed.
+    /// Returns the settings in force, or `None` if nothing is streamed.
     pub fn settings(&self) -> Option<StreamSettings> {
         self.settings.get()
     }
 
-    /// The settings for streams under way, which outlive the section.
+    /// Returns the settings for open streams, which stay in force after the section is removed.
     pub fn last_settings(&self) -> Option<StreamSettings> {
         self.last_settings.get()
     }
 
-    /// The memory that is reserved for streams under way.
+    /// Returns the memory that is reserved for open streams.
     pub fn reserved_bytes(&self) -> usize {
         self.memory_bytes - self.memory.available_permits()
     }
 
-    /// Puts new settings in force. The memory stays as it was at the start.
+    /// Applies new settings. The memory limit stays as it was at the start.
     pub fn configure(&self, settings: Option<StreamSettings>) {
         self.settings.set(settings);
         self.last_settings.set(settings.or(self.last_settings.get()));
     }
 
-    /// Reserves memory for a stream; waits until others leave it.
+    /// Reserves memory for a stream. Waits until other streams have released enough.
     pub async fn reserve(&self, bytes: usize) -> Option<OwnedSemaphorePermit> {
-        // A new configuration may ask for more than there was at the start: then one stream has all of it.
+        // A new configuration may require more than the limit set at the start. A stream then reserves all of it.
         let bytes = bytes.min(self.memory_bytes);
         // The semaphore is never closed.
         self.memory.clone().acquire_many_owned(bytes as u32).await.ok()
--- a/crates/gateway/src/relay/response.rs
+++ b/crates/gateway/src/relay/response.rs
@@ -1,6 +1,7 @@
-//! A backend's response that is passed on as it arrives. It is held back up to a bound: within it one that turns out
-//! malformed is a failed attempt. Past it the client has it; if it breaks then, so does the client's connection, so
-//! that a part is never taken for the whole.
+//! A backend's response that is forwarded as it arrives. The start of the body is held back up to a limit. A response
+//! that turns out malformed within the limit is a failed attempt. Past the limit the client receives the body; if the
+//! response then ends early, the client's connection is closed as well, so that the client does not mistake a truncated
+//! body for a complete one.
 
 use crate::pool::PooledConnection;
 use bytes::Bytes;
@@ -15,9 +16,9 @@
 
 /// The body of a response that is served.
 pub enum ServedBody {
-    /// All of it.
+    /// The complete body.
     Complete(Bytes),
-    /// It is still arriving.
+    /// A body that is still arriving.
     Streamed(Box<StreamedBody>),
 }
 
@@ -30,54 +31,54 @@
     }
 }
 
-/// A response broke off after its client had a part of it.
+/// The backend's response ended early, after a part of it was sent to the client.
 #[derive(Debug, Error)]
-#[error("the backend's answer broke off")]
-pub struct BrokenOff;
+#[error("the backend's response ended before it was complete")]
+pub struct IncompleteResponse;
 
-/// What is still to come of a response, and the connection that it comes on.
-struct Rest {
+/// The part of a response that has not been read yet, and the connection on which it arrives.
+struct RemainingResponse {
     connection: PooledConnection,
     body: Incoming,
 }
 
-/// The body of a response under way: what was held back, then what arrives. It reads from its backend only as fast as
-/// the client takes it. Its connection goes back to the pool only when the body was complete.
+/// The body of a streamed response: the data that was held back, followed by the data that arrives. It reads from the
+/// backend only as fast as the client receives. The connection is released to the pool only after a complete body.
 pub struct StreamedBody {
     held_back: VecDeque<Bytes>,
-    rest: Option<Rest>,
-    /// The backend has all of the request, so that its connection can carry another.
+    remaining: Option<RemainingResponse>,
+    /// Whether the request was sent completely, so that the connection can carry another request.
     request_complete: bool,
-    /// Nothing more had arrived from the backend when it was last polled.
+    /// Whether no more data had arrived from the backend when the body was last polled.
     awaits_backend: bool,
-    /// It is aborted because the transfer was too slow.
+    /// Whether the body is aborted because the transfer was too slow.
     pub(super) too_slow: bool,
     end_sender: Option<oneshot::Sender<Outcome>>,
     _memory: OwnedSemaphorePermit,
 }
 
-/// What a [`StreamedBody`] is made of.
+/// The parameters of [`StreamedBody::new`].
 pub struct StreamedBodyParams {
-    /// What was held back of the response.
+    /// The start of the body, which was held back.
     pub held_back: VecDeque<Bytes>,
-    /// The connection on which the rest arrives.
+    /// The connection on which the rest of the body arrives.
     pub connection: PooledConnection,
-    /// The rest.
-    pub rest: Incoming,
-    /// Whether the backend has all of the request.
+    /// The rest of the body.
+    pub remaining: Incoming,
+    /// Whether the request was sent completely.
     pub request_complete: bool,
-    /// Gets the outcome when the body ends.
+    /// Receives the outcome when the body ends.
     pub end_sender: oneshot::Sender<Outcome>,
-    /// The memory that is reserved for it.
+    /// The memory that is reserved for the stream.
     pub memory: OwnedSemaphorePermit,
 }
 
 impl StreamedBody {
-    /// A body that begins with what was held back.
+    /// Creates a body that starts with the data that was held back.
     pub fn new(params: StreamedBodyParams) -> StreamedBody {
         StreamedBody {
             held_back: params.held_back,
-            rest: Some(Rest { connection: params.connection, body: params.rest }),
+            remaining: Some(RemainingResponse { connection: params.connection, body: params.remaining }),
             request_complete: params.request_complete,
             awaits_backend: false,
             too_slow: false,
@@ -86,51 +87,53 @@
         }
     }
 
-    /// Ends it, the first time only.
+    /// Ends the body with an outcome. Further calls have no effect.
     fn end(&mut self, outcome: Outcome) {
-        let rest = self.rest.take();
+        let remaining = self.remaining.take();
         if let Some(end_sender) = self.end_sender.take() {
-            // The driver may have ended.
+            // The receiver may be gone if the driver has ended.
             let _ = end_sender.send(outcome);
         }
-        if let Some(rest) = rest.filter(|_| outcome == Outcome::Success && self.request_complete) {
-            rest.connection.release();
+        if let Some(remaining) = remaining.filter(|_| outcome == Outcome::Success && self.request_complete) {
+            remaining.connection.release();
         }
     }
 }
 
 impl Drop for StreamedBody {
     fn drop(&mut self) {
-        // Only a backend that was waited for is at fault, not one whose client reads slowly or leaves.
+        // The backend is at fault only if the stream was waiting for it, not if the client reads slowly or disconnects.
         self.end(if self.too_slow && self.awaits_backend { Outcome::Timeout } else { Outcome::Cancelled });
     }
 }
 
 impl Body for StreamedBody {
     type Data = Bytes;
-    type Error = BrokenOff;
+    type Error = IncompleteResponse;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BrokenOff>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, IncompleteResponse>>> {
         let this = self.get_mut();
         if let Some(data) = this.held_back.pop_front() {
             return Poll::Ready(Some(Ok(Frame::data(data))));
         }
         loop {
-            let Some(Rest { connection, body }) = &mut this.rest else { return Poll::Ready(None) };
+            let Some(RemainingResponse { connection, body }) = &mut this.remaining else {
+                return Poll::Ready(None);
+            };
             let Some(connection) = connection.connection() else {
-                return Poll::Ready(Some(Err(BrokenOff)));
+                return Poll::Ready(Some(Err(IncompleteResponse)));
             };
             let polled = connection.poll_frame(cx, body);
             this.awaits_backend = polled.is_pending();
             match polled {
                 Poll::Pending => return Poll::Pending,
                 Poll::Ready(Some(Ok(frame))) => {
-                    // Trailers are dropped: they hold for the backend's connection alone.
+                    // Trailers are dropped: they apply only to the backend's connection.
                     let Ok(data) = frame.into_data() else { continue };
-                    // A caller that knows the length does not poll again after the last byte.
+                    // A caller that knows the length does not poll again after the last byte, so end the body here.
                     if body.is_end_stream() {
                         this.end(Outcome::Success);
                     }
@@ -138,7 +141,7 @@
                 }
                 Poll::Ready(Some(Err(_))) => {
                     this.end(Outcome::ConnectionReset);
-                    return Poll::Ready(Some(Err(BrokenOff)));
+                    return Poll::Ready(Some(Err(IncompleteResponse)));
                 }
                 Poll::Ready(None) => {
                     this.end(Outcome::Success);
@@ -149,15 +152,17 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        self.held_back.is_empty() && self.rest.is_none()
+        self.held_back.is_empty() && self.remaining.is_none()
     }
 
     fn size_hint(&self) -> SizeHint {
         let held_back = self.held_back.iter().map(|data| data.len() as u64).sum::<u64>();
-        let rest = match &self.rest {
-            Some(rest) => rest.body.size_hint(),
+        let remaining = match &self.remaining {
+            Some(remaining) => remaining.body.size_hint(),
             None => SizeHint::with_exact(0),
         };
-        rest.exact().map_or_else(SizeHint::default, |rest| SizeHint::with_exact(held_back + rest))
+        remaining
+            .exact()
+            .map_or_else(SizeHint::default, |remaining| SizeHint::with_exact(held_back + remaining))
     }
 }
--- a/crates/gateway/src/relay/settings.rs
+++ b/crates/gateway/src/relay/settings.rs
@@ -6,30 +6,30 @@
 use std::time::Duration;
 
 const BYTES_PER_KB: usize = 1024;
-/// Streams may hold the gateway's memory divided by this.
+/// All streams together may hold the memory limit of the gateway divided by this.
 pub(super) const MEMORY_DIVISOR: usize = 4;
-/// What one stream may hold besides its start: what was read from the backend and what is being written to the client,
-/// each up to hyper's buffer.
+/// The memory of one stream besides the data that it holds back: the data read from the backend and the data being
+/// written to the client, each up to the size of hyper's buffer.
 pub(super) const STREAM_BUFFER_BYTES: usize = 4 * MAX_BODY_BYTES;
 
 /// The settings of streamed responses and uploads.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StreamSettings {
-    /// So many bytes of a response are held back before the client gets the first one, and so many of an upload are
-    /// kept to be sent again.
+    /// How many bytes of a response are held back before the first one is sent to the client, and how many bytes of an
+    /// upload are kept for replay.
     pub hold_bytes: usize,
     /// How long a new stream waits for memory.
     pub memory_wait: Duration,
-    /// At least so many bytes must go through in each window.
+    /// The minimum number of bytes to transfer in each window.
     pub min_window_bytes: u64,
-    /// How long a window is.
+    /// The length of a window.
     pub window: Duration,
-    /// A transfer ends after this time.
+    /// The maximum duration of a transfer.
     pub max_duration: Duration,
 }
 
 impl StreamSettings {
-    /// The settings that a section makes. `memory_bytes` is the memory of the whole gateway.
+    /// Builds the settings from a section. `memory_bytes` is the memory limit of the entire gateway.
     pub fn from_section(
         section: &StreamingSection,
         memory_bytes: usize,
@@ -51,7 +51,7 @@
         })
     }
 
-    /// The most that one stream may hold.
+    /// Returns the maximum memory of one stream.
     pub fn stream_memory_bytes(&self) -> usize {
         self.hold_bytes + STREAM_BUFFER_BYTES
     }
--- a/crates/gateway/src/relay/tests.rs
+++ b/crates/gateway/src/relay/tests.rs
@@ -5,30 +5,30 @@
 use tokio::time::timeout;
 
 #[tokio::test(flavor = "current_thread", start_paused = true)]
-async fn streams_wait_for_memory_until_another_ends() {
+async fn a_stream_waits_for_memory_until_another_stream_ends() {
     let memory = 4 * MEMORY_DIVISOR * STREAM_BUFFER_BYTES;
     let settings = StreamSettings::from_section(&StreamingSection::default(), memory);
-    let settings = settings.expect("a section that makes sense");
+    let settings = settings.expect("valid section");
     let limits = StreamLimits::new(Some(settings), memory);
-    let mut under_way = Vec::new();
+    let mut open_streams = Vec::new();
     while let Ok(reserved) =
         timeout(Duration::from_secs(1), limits.reserve(settings.stream_memory_bytes())).await
     {
-        under_way.push(reserved);
+        open_streams.push(reserved);
     }
     assert_eq!(
-        under_way.len(),
+        open_streams.len(),
         4 * STREAM_BUFFER_BYTES / (settings.hold_bytes + STREAM_BUFFER_BYTES),
-        "as many as the memory holds"
+        "the number of streams that fit into the memory"
     );
-    under_way.pop();
+    open_streams.pop();
     assert!(
         timeout(Duration::from_secs(1), limits.reserve(settings.stream_memory_bytes())).await.is_ok(),
-        "one has ended"
+        "a stream has ended"
     );
-    // More than there is at all: it waits for the others and then has everything.
-    let large = memory;
-    assert!(timeout(Duration::from_secs(1), limits.reserve(large)).await.is_err());
-    under_way.clear();
-    assert!(timeout(Duration::from_secs(1), limits.reserve(large)).await.is_ok());
+    // A reservation above the limit waits for all other streams and then reserves all memory.
+    let over_limit = memory;
+    assert!(timeout(Duration::from_secs(1), limits.reserve(over_limit)).await.is_err());
+    open_streams.clear();
+    assert!(timeout(Duration::from_secs(1), limits.reserve(over_limit)).await.is_ok());
 }
--- a/crates/gateway/src/relay/upload.rs
+++ b/crates/gateway/src/relay/upload.rs
@@ -1,5 +1,6 @@
-//! A client's upload, which is passed on as it arrives. What has arrived so far is kept while it fits into the replay
-//! buffer, so that another attempt can send it again. Past that the upload is bound to the attempt that carries it.
+//! A client's upload, which is forwarded as it arrives. The data received so far is kept while it fits into the replay
+//! buffer, so that another attempt can send it again. Once it no longer fits, the upload is bound to the attempt that
+//! sends it.
 
 mod reader;
 mod state;
@@ -16,73 +17,73 @@
 use tokio::sync::{Notify, OwnedSemaphorePermit};
 use tokio::time::{sleep, sleep_until, Instant};
 
-/// One upload: what its client sends, and how far it is.
+/// A client's upload and its progress.
 pub struct Upload {
     state: RefCell<UploadState>,
     received_bytes: Cell<u64>,
-    began: Instant,
+    started_at: Instant,
     window: Cell<ReceiveWindow>,
-    /// How long its client waits for the response, from the last byte on.
-    budget: Duration,
-    /// It became bound, complete or closed.
+    /// How long the client waits for the response after the last byte of the upload.
+    response_timeout: Duration,
+    /// Notified when the upload becomes bound, complete or closed.
     changed: Notify,
     _memory: OwnedSemaphorePermit,
 }
 
-/// A span of time in which a client must send a minimum.
+/// A period in which the client must send a minimum number of bytes.
 #[derive(Clone, Copy)]
 struct ReceiveWindow {
-    began: Instant,
+    started_at: Instant,
     bytes_before: u64,
 }
 
 impl fmt::Debug for Upload {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "an upload, {} bytes so far", self.received_bytes.get())
+        write!(f, "an upload with {} bytes received", self.received_bytes.get())
     }
 }
 
 impl Upload {
-    /// An upload of which nothing has been read, nor will be before an attempt asks for it.
+    /// Creates an upload. Nothing is read from `source` before an attempt reads the upload.
     pub fn new(
         source: UploadSource,
         replay_bytes: usize,
-        budget: Duration,
+        response_timeout: Duration,
         memory: OwnedSemaphorePermit,
     ) -> Rc<Upload> {
         let now = Instant::now();
         Rc::new(Upload {
             state: RefCell::new(UploadState::new(source, replay_bytes)),
             received_bytes: Cell::new(0),
-            began: now,
-            window: Cell::new(ReceiveWindow { began: now, bytes_before: 0 }),
-            budget,
+            started_at: now,
+            window: Cell::new(ReceiveWindow { started_at: now, bytes_before: 0 }),
+            response_timeout,
             changed: Notify::new(),
             _memory: memory,
         })
     }
 
-    /// Whether the client has sent all of it.
+    /// Returns whether the client has sent the complete upload.
     pub fn is_complete(&self) -> bool {
         self.state.borrow().is_complete()
     }
 
-    /// Whether only this attempt can carry it.
+    /// Returns whether only this attempt can send the upload.
     pub fn is_bound_to(&self, attempt: usize) -> bool {
         self.state.borrow().is_bound_to(attempt)
     }
 
-    /// Whether an attempt that begins now would find all that has arrived.
+    /// Returns whether a new attempt could send everything that was received so far.
     pub fn is_replayable(&self) -> bool {
         self.state.borrow().is_replayable()
     }
 
-    /// Whether more is to come from the client, and has not arrived.
+    /// Returns whether the upload is incomplete because of the client: it broke off, or a reader waits for more data.
     pub fn awaits_client(&self) -> bool {
         self.state.borrow().awaits_client()
     }
 
-    /// Waits until only this attempt can carry it.
+    /// Waits until only this attempt can send the upload.
     pub async fn wait_until_bound_to(&self, attempt: usize) {
         self.wait_until(|upload| upload.is_bound_to(attempt)).await;
     }
@@ -99,14 +100,14 @@
         }
     }
 
-    /// Nothing more of it is wanted: its request has been answered, or its client has disconnected.
+    /// Closes the upload, because its request was answered or its client disconnected.
     pub fn close(&self) {
         self.state.borrow_mut().close();
         self.changed.notify_waiters();
     }
 
-    /// Whether its client takes too long, or sent too little in the window that ends now. While the client is not
-    /// waited for, the window begins anew.
+    /// Returns whether the client exceeded the maximum duration, or sent less than the minimum in the window that just
+    /// ended. The window restarts while no reader waits for the client.
     pub fn is_client_too_slow(&self, settings: &StreamSettings) -> bool {
         let (is_over, is_stalled) = {
             let state = self.state.borrow();
@@ -117,18 +118,18 @@
         }
         let (now, window) = (Instant::now(), self.window.get());
         let received = self.received_bytes.get();
-        let window_ended = now >= window.began + settings.window;
+        let window_ended = now >= window.started_at + settings.window;
         if !is_stalled || window_ended {
-            self.window.set(ReceiveWindow { began: now, bytes_before: received });
+            self.window.set(ReceiveWindow { started_at: now, bytes_before: received });
         }
         let below_minimum =
             is_stalled && window_ended && received - window.bytes_before < settings.min_window_bytes;
-        below_minimum || now >= self.began + settings.max_duration
+        below_minimum || now >= self.started_at + settings.max_duration
     }
 
-    /// Waits until the time of a bound attempt is over: its backend took too little in a window, or has not answered
-    /// within the budget from the last byte on.
-    pub async fn backend_time_limit(&self, settings: &StreamSettings) {
+    /// Waits until a bound attempt times out: its backend accepted less than the minimum in a window, or has not
+    /// responded in time after the last byte.
+    pub async fn wait_for_backend_timeout(&self, settings: &StreamSettings) {
         while !self.is_complete() {
             let received_before = self.received_bytes.get();
             tokio::select! {
@@ -142,7 +143,7 @@
             }
         }
         let completed_at = self.state.borrow().completed_at();
-        sleep_until(completed_at.unwrap_or_else(Instant::now) + self.budget).await;
+        sleep_until(completed_at.unwrap_or_else(Instant::now) + self.response_timeout).await;
     }
 }
 
--- a/crates/gateway/src/relay/upload/reader.rs
+++ b/crates/gateway/src/relay/upload/reader.rs
@@ -1,6 +1,6 @@
-//! An upload as the request body of one attempt.
+//! Reads an upload as the request body of one attempt.
 
-use super::state::Stored;
+use super::state::StoreResult;
 use super::Upload;
 use bytes::Bytes;
 use hyper::body::{Body, Frame, SizeHint};
@@ -14,42 +14,42 @@
 pub struct UploadReader {
     upload: Rc<Upload>,
     attempt: usize,
-    /// The number of kept chunks that were read.
+    /// How many chunks of the replay buffer were read.
     chunks_read: usize,
     sent_bytes: u64,
     send_state: Rc<SendState>,
 }
 
-/// How far one attempt is with an upload.
+/// The progress of one attempt in sending an upload.
 #[derive(Debug, Default)]
 pub struct SendState {
-    /// The backend has answered already: nothing more is sent.
+    /// Whether sending stopped because the backend has already responded.
     stopped: Cell<bool>,
-    /// The last byte was handed to the protocol, so the request may run.
+    /// Whether the last byte was handed to the protocol, so that the backend may execute the request.
     complete: Cell<bool>,
 }
 
 impl SendState {
-    /// Sends nothing more.
+    /// Stops sending.
     pub fn stop(&self) {
         self.stopped.set(true);
     }
 
-    /// Whether the backend may have all of the upload.
+    /// Returns whether the backend may have received the complete upload.
     pub fn is_complete(&self) -> bool {
         self.complete.get()
     }
 }
 
 impl UploadReader {
-    /// The request body of this attempt, which reads the upload from its start.
+    /// Creates the request body of an attempt, which reads the upload from its start.
     pub fn new(upload: Rc<Upload>, attempt: usize) -> UploadReader {
         let send_state = Rc::<SendState>::default();
         send_state.complete.set(upload.state.borrow().is_complete_unkept());
         UploadReader { upload, attempt, chunks_read: 0, sent_bytes: 0, send_state }
     }
 
-    /// How far it is.
+    /// Returns the shared progress of this attempt.
     pub fn send_state(&self) -> Rc<SendState> {
         self.send_state.clone()
     }
@@ -71,9 +71,9 @@
         if let Some(Ok(chunk)) = &data {
             self.upload.received_bytes.set(self.upload.received_bytes.get() + chunk.len() as u64);
             match state.store(chunk, self.attempt) {
-                Stored::Kept => self.chunks_read += 1,
-                Stored::Bound => self.upload.changed.notify_waiters(),
-                Stored::NotKept => {}
+                StoreResult::Kept => self.chunks_read += 1,
+                StoreResult::Bound => self.upload.changed.notify_waiters(),
+                StoreResult::NotKept => {}
             }
         }
         if state.is_complete() {
@@ -112,8 +112,9 @@
 
     fn is_end_stream(&self) -> bool {
         let state = self.upload.state.borrow();
-        // Guards against a part that passes for the whole: what another attempt carries does not end here.
-        state.may_carry(self.attempt) && state.is_complete() && self.chunks_read >= state.kept_chunks()
+        // An upload that is bound to another attempt must not end here: the backend would take a partial body for a
+        // complete one.
+        state.may_carry(self.attempt) && state.is_complete() && self.chunks_read >= state.kept_chunk_count()
     }
 
     fn size_hint(&self) -> SizeHint {
--- a/crates/gateway/src/relay/upload/state.rs
+++ b/crates/gateway/src/relay/upload/state.rs
@@ -1,4 +1,4 @@
-//! What has arrived of an upload, and who may carry it.
+//! The received part of an upload, and which attempts may send it.
 
 use bytes::Bytes;
 use hyper::body::{Body, Frame};
@@ -7,53 +7,53 @@
 use std::task::{Context, Poll, Waker};
 use tokio::time::Instant;
 
-/// What a client sends, as it arrives.
+/// The request body of a client, from which an upload is read.
 pub type UploadSource = Pin<Box<dyn Body<Data = Bytes, Error = io::Error>>>;
 
-/// Which attempts may carry an upload.
+/// Which attempts may send an upload.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Carrier {
-    /// Any, as all that has arrived is kept.
+    /// Any attempt, because everything received so far is in the replay buffer.
     Any,
-    /// This one, which read past the replay buffer.
+    /// Only this attempt, which read past the replay buffer.
     Only(usize),
-    /// None: the upload was closed.
-    Nobody,
+    /// No attempt, because the upload was closed.
+    Closed,
 }
 
-/// The start of an upload, while it fits.
+/// The start of an upload, kept while it fits into the capacity.
 struct ReplayBuffer {
     chunks: Vec<Bytes>,
-    /// What was kept in all; it stays when the chunks are dropped.
+    /// The total size of the chunks that were kept. Unchanged when the chunks are dropped.
     bytes: usize,
     capacity_bytes: usize,
 }
 
-/// What became of a chunk that was read.
+/// The result of [`UploadState::store`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Stored {
-    /// It is in the replay buffer.
+pub(super) enum StoreResult {
+    /// The chunk is in the replay buffer.
     Kept,
-    /// The replay buffer was full: from this chunk on, the upload is bound to the attempt that read it.
+    /// The chunk did not fit into the replay buffer. The upload is now bound to the attempt that read the chunk.
     Bound,
-    /// The upload was bound before.
+    /// The upload had been bound or closed before.
     NotKept,
 }
 
-/// What has arrived of an upload.
+/// The received part of an upload and the source of the rest.
 pub(super) struct UploadState {
-    /// `None` once nothing more is wanted of it.
+    /// `None` once nothing more is read from the client.
     source: Option<UploadSource>,
     declared_length: Option<u64>,
     replay: ReplayBuffer,
     carrier: Carrier,
-    /// When the client had sent all of it.
+    /// When the last byte was received.
     completed_at: Option<Instant>,
-    /// The client's side ended before that.
+    /// Whether the upload ended before it was complete.
     broken: bool,
-    /// A reader found that nothing more had arrived.
+    /// Whether a reader is waiting for the client.
     stalled: bool,
-    /// The readers that wait.
+    /// The wakers of the readers that wait.
     wakers: Vec<Waker>,
 }
 
@@ -71,70 +71,70 @@
         }
     }
 
-    /// Its length, where the client declared one.
+    /// Returns the length, if the client declared one.
     pub(super) fn declared_length(&self) -> Option<u64> {
         self.declared_length
     }
 
-    /// When the client had sent all of it.
+    /// Returns when the last byte was received.
     pub(super) fn completed_at(&self) -> Option<Instant> {
         self.completed_at
     }
 
-    /// Whether the client has sent all of it.
+    /// Returns whether the client has sent the complete upload.
     pub(super) fn is_complete(&self) -> bool {
         self.completed_at.is_some()
     }
 
-    /// Whether nothing more is read from the client.
+    /// Returns whether nothing more is read from the client.
     pub(super) fn is_over(&self) -> bool {
         self.is_complete() || self.source.is_none()
     }
 
-    /// Whether a reader waits for the client.
+    /// Returns whether a reader waits for the client.
     pub(super) fn is_stalled(&self) -> bool {
         self.stalled
     }
 
-    /// Whether more is to come from the client, and has not arrived.
+    /// Returns whether the upload is incomplete because of the client: it broke off, or a reader waits for more data.
     pub(super) fn awaits_client(&self) -> bool {
         self.broken || (!self.is_complete() && self.stalled)
     }
 
-    /// Whether only this attempt may carry it.
+    /// Returns whether only this attempt may send the upload.
     pub(super) fn is_bound_to(&self, attempt: usize) -> bool {
         self.carrier == Carrier::Only(attempt)
     }
 
-    /// Whether any attempt may carry it.
+    /// Returns whether any attempt may send the upload.
     pub(super) fn is_replayable(&self) -> bool {
         self.carrier == Carrier::Any
     }
 
-    /// Whether this attempt may carry it.
+    /// Returns whether this attempt may send the upload.
     pub(super) fn may_carry(&self, attempt: usize) -> bool {
         self.is_replayable() || self.is_bound_to(attempt)
     }
 
-    /// Whether it is complete and nothing of it was ever kept: an attempt that begins now has nothing to send.
+    /// Returns whether the upload is complete and none of it was ever kept, so that a new attempt has nothing to send.
     pub(super) fn is_complete_unkept(&self) -> bool {
         self.is_complete() && self.replay.bytes == 0
     }
 
-    /// A chunk of the replay buffer.
+    /// Returns a chunk of the replay buffer.
     pub(super) fn kept_chunk(&self, index: usize) -> Option<Bytes> {
         self.replay.chunks.get(index).cloned()
     }
 
-    /// The number of chunks in the replay buffer.
-    pub(super) fn kept_chunks(&self) -> usize {
+    /// Returns the number of chunks in the replay buffer.
+    pub(super) fn kept_chunk_count(&self) -> usize {
         self.replay.chunks.len()
     }
 
-    /// Reads from the client.
+    /// Reads data from the client.
     pub(super) fn poll_source(&mut self, cx: &mut Context<'_>) -> Poll<Option<io::Result<Bytes>>> {
         let Some(source) = self.source.as_mut() else {
-            return Poll::Ready(Some(Err(io::Error::other("the client's side ended"))));
+            return Poll::Ready(Some(Err(io::Error::other("the upload ended before it was complete"))));
         };
         let Poll::Ready(data) = poll_data(source, cx) else {
             self.stalled = true;
@@ -153,7 +153,7 @@
         Poll::Ready(data)
     }
 
-    /// Only one of several readers is woken by the source; that one wakes the others.
+    /// Registers a reader to be woken. The source wakes only one of several readers, which then wakes the others.
     fn register(&mut self, waker: &Waker) {
         if !self.wakers.iter().any(|known| known.will_wake(waker)) {
             self.wakers.push(waker.clone());
@@ -165,40 +165,42 @@
         self.wakers.drain(..).for_each(Waker::wake);
     }
 
-    /// Keeps a chunk for other attempts while it fits.
-    pub(super) fn store(&mut self, chunk: &Bytes, attempt: usize) -> Stored {
+    /// Stores a chunk for other attempts if it fits into the replay buffer.
+    pub(super) fn store(&mut self, chunk: &Bytes, attempt: usize) -> StoreResult {
         if !self.is_replayable() {
-            return Stored::NotKept;
+            return StoreResult::NotKept;
         }
         let replay = &mut self.replay;
         if replay.bytes + chunk.len() > replay.capacity_bytes {
             self.carrier = Carrier::Only(attempt);
             replay.chunks = Vec::new();
-            return Stored::Bound;
+            return StoreResult::Bound;
         }
         replay.bytes += chunk.len();
         replay.chunks.push(chunk.clone());
-        Stored::Kept
+        StoreResult::Kept
     }
 
-    /// A reader is gone. Guards against readers that wait for it to be woken; those that still wait say so anew.
+    /// Handles a dropped reader. It may have been the only one that the source wakes, so all others are woken; those
+    /// that still wait register again.
     pub(super) fn reader_dropped(&mut self) {
         self.stalled = false;
         self.wake_readers();
     }
 
-    /// Nothing more of it is wanted. Guards against a part that passes for the whole, at an attempt that is still out.
+    /// Closes the upload. No attempt may send it any more, so that an attempt still in progress does not end its request
+    /// with a partial body.
     pub(super) fn close(&mut self) {
         if self.source.take().is_some() && !self.is_complete() {
             self.broken = true;
         }
         self.replay.chunks = Vec::new();
-        self.carrier = Carrier::Nobody;
+        self.carrier = Carrier::Closed;
         self.wake_readers();
     }
 }
 
-/// Polls for data. Trailers are dropped: they hold for the client's connection alone.
+/// Polls for data. Trailers are dropped: they apply only to the client's connection.
 fn poll_data(source: &mut UploadSource, cx: &mut Context<'_>) -> Poll<Option<io::Result<Bytes>>> {
     loop {
         let Poll::Ready(frame) = source.as_mut().poll_frame(cx) else { return Poll::Pending };
--- a/crates/gateway/tests/pool.rs
+++ b/crates/gateway/tests/pool.rs
@@ -225,7 +225,7 @@
     let at = rig.backends(1)[0];
     let (gone, dial) = rig.wait(at);
     assert!(dial);
-    rig.state.leave(at, gone);
+    rig.state.remove_waiter(at, gone);
     assert!(rig.came_up(at).is_none(), "for nobody");
     let link = rig.reuse(at);
     assert_eq!(link.number, 1, "it may be used at once: nothing was written to it");
@@ -249,7 +249,7 @@
     let (whose, link) = rig.state.serve_waiter(rig.now, at).expect("it has settled");
     assert_eq!(whose, first);
     assert!(rig.state.serve_waiter(rig.now, at).is_none(), "there was one");
-    rig.state.leave(at, second);
+    rig.state.remove_waiter(at, second);
     rig.give_back(at, link);
     rig.pass(SETTLE_TIME);
     assert!(rig.state.serve_waiter(rig.now, at).is_none(), "the second went");
@@ -264,7 +264,7 @@
     let (waiter, dial) = rig.wait(at);
     assert!(!dial);
     drop(link);
-    assert!(rig.state.closed(rig.now, at), "another is opened in its place");
+    assert!(rig.state.connection_closed(rig.now, at), "another is opened in its place");
     assert_eq!(rig.came_up(at).map(|(whose, _)| whose), Some(waiter));
 }
 
@@ -385,7 +385,7 @@
                 // It closes those that it can't bear any more.
                 if self.held.len() >= bears {
                     drop(link);
-                    rig.state.closed(rig.now, self.at);
+                    rig.state.connection_closed(rig.now, self.at);
                 } else {
                     rig.give_back(self.at, link);
                 }
@@ -605,15 +605,15 @@
         rig.fill(at, 2);
         let link = rig.reuse(at);
         drop(link);
-        rig.state.closed(rig.now, at);
+        rig.state.connection_closed(rig.now, at);
     }
     let links = [rig.reuse(failing)];
     let (waiter, _) = rig.wait(failing);
     rig.state.dial_ended(rig.now, failing, Err(DialError::Refused));
-    rig.state.leave(failing, waiter);
+    rig.state.remove_waiter(failing, waiter);
     links.into_iter().for_each(|link| {
         drop(link);
-        rig.state.closed(rig.now, failing);
+        rig.state.connection_closed(rig.now, failing);
     });
     rig.state.close(gone);
     let wanting =
@@ -678,7 +678,7 @@
                 4 => {
                     if let Some(link) = out.get_mut(&at).and_then(Vec::pop) {
                         drop(link);
-                        rig.state.closed(rig.now, at);
+                        rig.state.connection_closed(rig.now, at);
                     }
                 }
                 _ => rig.state.retire(rig.now),
@@ -695,7 +695,7 @@
             }
             if waiting.len() > 4 {
                 let (at, waiter) = waiting.remove(0);
-                rig.state.leave(at, waiter);
+                rig.state.remove_waiter(at, waiter);
             }
             rig.check();
             let gauges = rig.state.gauges();
