--- a/crates/gateway/src/backend/attempt.rs
+++ b/crates/gateway/src/backend/attempt.rs
@@ -64,7 +64,7 @@
 }
 
 /// Waits until an attempt times out: at `give_up_at`, or, if an upload is bound to the attempt by then, once the
-/// backend no longer keeps up with the upload or with the time to respond to it.
+/// backend stalls the upload or does not respond to it in time.
 async fn wait_for_time_limit(
     streams: &StreamLimits,
     request: &ForwardedRequest,
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -1,8 +1,8 @@
 //! The pool of connections to all backends. A connection is checked out for one request at a time and released after
 //! it.
 //!
-//! [`PoolState`] decides which request gets which connection, without any I/O. [`Pool`] owns the sockets, the timers and
-//! the dial tasks.
+//! [`PoolState`] decides which request gets which connection, without any I/O. [`Pool`] owns the sockets, the timers
+//! and the dial tasks.
 //!
 //! | module | job |
 //! | --- | --- |
@@ -90,7 +90,8 @@
         })
     }
 
-    /// Adds a backend that is in service. `predecessor` is the earlier incarnation of the same backend, if there is one.
+    /// Adds a backend that is in service. `predecessor` is the earlier incarnation of the same backend, if there is
+    /// one.
     pub fn add_backend(
         &self,
         address: SocketAddr,
@@ -135,7 +136,8 @@
         self.state.borrow().counters()
     }
 
-    /// Checks out a connection for one request. Waits at most for the wait timeout of the settings and until `deadline`.
+    /// Checks out a connection for one request. Waits at most for the wait timeout of the settings and until
+    /// `deadline`.
     pub async fn checkout(self: &Rc<Self>, backend: &Backend, deadline: Instant) -> CheckoutResult {
         let now = Instant::now();
         let (id, address) = (backend.id, backend.address);
@@ -257,8 +259,8 @@
         });
     }
 
-    /// Returns the next waiting request with its connection. The state is not borrowed after this call, because granting
-    /// the connection may release it, which borrows the state again.
+    /// Returns the next waiting request with its connection. The state is not borrowed after this call, because
+    /// granting the connection may release it, which borrows the state again.
     fn next_served(&self, id: IncarnationId) -> Option<(WaiterId, Connection)> {
         self.state.borrow_mut().serve_waiter(Instant::now(), id)
     }
--- a/crates/gateway/src/pool/settings/tests.rs
+++ b/crates/gateway/src/pool/settings/tests.rs
@@ -13,7 +13,7 @@
     }
 }
 
-fn build(section: Value) -> Result<PoolSettings, String> {
+fn read(section: Value) -> Result<PoolSettings, String> {
     let (document, problems) = problems::read::<Document>(json!({"pool": section}), &["pool"]);
     match document.filter(|_| problems.is_empty()) {
         Some(document) => {
@@ -25,7 +25,7 @@
 
 #[test]
 fn default_limits_follow_the_fleet_size_and_the_descriptors() {
-    let large_fleet = build(json!({})).expect("valid defaults");
+    let large_fleet = read(json!({})).expect("valid defaults");
     assert_eq!(
         (
             large_fleet.max_connections,
@@ -77,7 +77,7 @@
         (json!({"backoff_least_ms": 9, "backoff_most_ms": 8}), "pool.backoff_least_ms: 9ms is over"),
         (json!([]), "pool: expected an object, found []"),
     ] {
-        let error = build(section.clone()).err().unwrap_or_default();
+        let error = read(section.clone()).err().unwrap_or_default();
         assert!(error.starts_with(message) && (error.is_empty() == message.is_empty()), "{section}: {error}");
         assert!(!error.contains('\n'), "{error}");
     }
--- a/crates/gateway/src/pool/state/checkout.rs
+++ b/crates/gateway/src/pool/state/checkout.rs
@@ -100,7 +100,7 @@
         Some(connection)
     }
 
-    /// Removes a waiting request, because it gave up or has got a connection.
+    /// Removes a waiting request that gave up or got a connection.
     pub fn remove_waiter(&mut self, id: IncarnationId, waiter: WaiterId) {
         let Some(backend) = self.backends.get_mut(&id) else { return };
         if let Some(index) = backend.waiting.iter().position(|&waiting| waiting == waiter) {
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Returns the reason why a request got no connection before its wait timed out.
+    /// Records that the wait of a request timed out, and returns the reason why it got no connection.
     pub fn wait_timed_out(&mut self, id: IncarnationId) -> CheckoutError {
         self.counters.denied += 1;
         let is_reachable =
@@ -120,8 +120,8 @@
         }
     }
 
-    /// Grants a settled idle connection to the request that has waited longest. The caller must repeat the call until it
-    /// returns `None`.
+    /// Grants a settled idle connection to the request that has waited longest. The caller must repeat the call until
+    /// it returns `None`.
     pub fn serve_waiter(&mut self, now: Instant, id: IncarnationId) -> Option<(WaiterId, C)> {
         let waiter = *self.backends.get(&id)?.waiting.front()?;
         let connection = self.take_idle(now, id)?;
--- a/crates/gateway/src/pool/state/dial.rs
+++ b/crates/gateway/src/pool/state/dial.rs
@@ -18,9 +18,9 @@
 }
 
 impl<C: Poolable> PoolState<C> {
-    /// Begins a dial if there are more waiting requests than connections that are idle or being dialled. Returns whether
-    /// the caller must dial. There is one dial per request: each connection that settles or is being dialled already
-    /// serves one of them.
+    /// Begins a dial if there are more waiting requests than connections that are idle or being dialled. Returns
+    /// whether the caller must dial. There is one dial per request: each connection that settles or is being dialled
+    /// already serves one of them.
     pub(super) fn dial_for_waiters(&mut self, now: Instant, id: IncarnationId) -> bool {
         let Some(backend) = self.backends.get(&id) else { return false };
         backend.in_service
@@ -29,8 +29,8 @@
             && self.begin_dial(id)
     }
 
-    /// Counts a new dial if the limits allow another connection or an idle one can be closed for it. Returns whether the
-    /// caller must dial.
+    /// Counts a new dial if the limits allow another connection or an idle one can be closed for it. Returns whether
+    /// the caller must dial.
     pub(super) fn begin_dial(&mut self, id: IncarnationId) -> bool {
         let Some(backend) = self.backends.get(&id) else { return false };
         if backend.is_unresponsive() && backend.is_at_limit() && !backend.idle.is_empty() {
--- a/crates/gateway/src/pool/state/preconnect.rs
+++ b/crates/gateway/src/pool/state/preconnect.rs
@@ -19,8 +19,8 @@
             && !backend.is_unresponsive()
     }
 
-    /// Chooses the backends among `wanting` that get a connection now, each after a random delay of at most `spread`. The
-    /// order is random, so that different gateways choose different backends.
+    /// Chooses the backends among `wanting` that get a connection now, each after a random delay of at most `spread`.
+    /// The order is random, so that different gateways choose different backends.
     pub fn choose_preconnects(
         &mut self,
         now: Instant,
--- a/crates/gateway/src/relay/response.rs
+++ b/crates/gateway/src/relay/response.rs
@@ -37,7 +37,7 @@
 pub struct IncompleteResponse;
 
 /// The part of a response that has not been read yet, and the connection on which it arrives.
-struct RemainingResponse {
+struct Remainder {
     connection: PooledConnection,
     body: Incoming,
 }
@@ -46,7 +46,7 @@
 /// backend only as fast as the client receives. The connection is released to the pool only after a complete body.
 pub struct StreamedBody {
     held_back: VecDeque<Bytes>,
-    remaining: Option<RemainingResponse>,
+    remaining: Option<Remainder>,
     /// Whether the request was sent completely, so that the connection can carry another request.
     request_complete: bool,
     /// Whether no more data had arrived from the backend when the body was last polled.
@@ -78,7 +78,7 @@
     pub fn new(params: StreamedBodyParams) -> StreamedBody {
         StreamedBody {
             held_back: params.held_back,
-            remaining: Some(RemainingResponse { connection: params.connection, body: params.remaining }),
+            remaining: Some(Remainder { connection: params.connection, body: params.remaining }),
             request_complete: params.request_complete,
             awaits_backend: false,
             too_slow: false,
@@ -120,9 +120,7 @@
             return Poll::Ready(Some(Ok(Frame::data(data))));
         }
         loop {
-            let Some(RemainingResponse { connection, body }) = &mut this.remaining else {
-                return Poll::Ready(None);
-            };
+            let Some(Remainder { connection, body }) = &mut this.remaining else { return Poll::Ready(None) };
             let Some(connection) = connection.connection() else {
                 return Poll::Ready(Some(Err(IncompleteResponse)));
             };
--- a/crates/gateway/src/relay/upload/state.rs
+++ b/crates/gateway/src/relay/upload/state.rs
@@ -188,8 +188,8 @@
         self.wake_readers();
     }
 
-    /// Closes the upload. No attempt may send it any more, so that an attempt still in progress does not end its request
-    /// with a partial body.
+    /// Closes the upload. No attempt may send it any more, so that an attempt still in progress does not end its
+    /// request with a partial body.
     pub(super) fn close(&mut self) {
         if self.source.take().is_some() && !self.is_complete() {
             self.broken = true;
