--- a/crates/gateway/benches/baseline/mod.rs
+++ b/crates/gateway/benches/baseline/mod.rs
@@ -1,70 +1,78 @@
-//! The pool as it was before `crates/gateway/src/pool.rs`: a map of idle connections under one cap, dialled on the request's
-//! path. Kept to compare with.
-#![allow(dead_code, reason = "kept as it was, to compare with")]
+//! The predecessor of the pool in `crates/gateway/src/pool.rs`, kept for comparison: a map of idle connections with a
+//! single limit. Connections are dialled on the request path.
+#![allow(dead_code, reason = "kept complete for comparison; not every method is called")]
 
 use lanespan_gateway::pool::{Poolable, SETTLE_TIME};
 use std::collections::HashMap;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The old pool.
-pub struct Baseline<C> {
+/// The predecessor of the current pool.
+pub struct BaselinePool<C> {
     idle: HashMap<u64, Vec<(C, Instant)>>,
     in_use: usize,
-    most: usize,
-    longest_idle: Duration,
+    max_connections: usize,
+    max_idle_time: Duration,
 }
 
-impl<C: Poolable> Baseline<C> {
-    /// One that holds so many connections to backends that close them after this time.
-    pub fn new(most: usize, conn_idle: Duration) -> Baseline<C> {
-        Baseline { idle: HashMap::new(), in_use: 0, most, longest_idle: conn_idle / 2 }
+impl<C: Poolable> BaselinePool<C> {
+    /// Creates a pool of at most `max_connections` connections to backends that close connections idle for `conn_idle`.
+    pub fn new(max_connections: usize, conn_idle: Duration) -> BaselinePool<C> {
+        BaselinePool { idle: HashMap::new(), in_use: 0, max_connections, max_idle_time: conn_idle / 2 }
     }
 
-    /// A place for one request, and an idle connection if there is one. `None`: no place.
-    pub fn checkout(&mut self, now: Instant, serial: u64) -> Option<Option<C>> {
-        if self.in_use >= self.most {
+    /// Checks out an idle connection for a request. Returns `Some(None)` if the caller must dial, and `None` if the limit
+    /// is reached.
+    pub fn checkout(&mut self, now: Instant, backend: u64) -> Option<Option<C>> {
+        if self.in_use >= self.max_connections {
             return None;
         }
         self.in_use += 1;
-        while self.held() > self.most - self.in_use {
+        while self.held() > self.max_connections - self.in_use {
             self.evict();
         }
-        Some(self.take(now, serial))
+        Some(self.take(now, backend))
     }
 
-    fn take(&mut self, now: Instant, serial: u64) -> Option<C> {
-        let stack = self.idle.get_mut(&serial)?;
-        while let Some(settled) = stack.iter().rposition(|(_, since)| *since + SETTLE_TIME <= now) {
-            let (mut connection, since) = stack.remove(settled);
-            if now < since + self.longest_idle && connection.is_usable() {
+    fn take(&mut self, now: Instant, backend: u64) -> Option<C> {
+        let connections = self.idle.get_mut(&backend)?;
+        while let Some(settled) =
+            connections.iter().rposition(|(_, released_at)| *released_at + SETTLE_TIME <= now)
+        {
+            let (mut connection, released_at) = connections.remove(settled);
+            if now < released_at + self.max_idle_time && connection.is_usable() {
                 return Some(connection);
             }
         }
         None
     }
 
-    /// The request is over; its connection may be used again.
-    pub fn give_back(&mut self, now: Instant, serial: u64, mut connection: C) {
+    /// Releases a connection after its request.
+    pub fn release(&mut self, now: Instant, backend: u64, mut connection: C) {
         self.in_use -= 1;
         if connection.is_usable() {
-            self.idle.entry(serial).or_default().push((connection, now));
+            self.idle.entry(backend).or_default().push((connection, now));
         }
     }
 
-    /// The request is over and its connection closed.
+    /// Records that the connection of a request was closed.
     pub fn closed(&mut self) {
         self.in_use -= 1;
     }
 
-    /// Ends a backend.
-    pub fn close(&mut self, serial: u64) {
-        self.idle.remove(&serial);
+    /// Closes all idle connections to a backend.
+    pub fn close(&mut self, backend: u64) {
+        self.idle.remove(&backend);
     }
 
     fn evict(&mut self) {
-        if let Some(stack) = self.idle.values_mut().filter(|s| !s.is_empty()).max_by_key(|s| s.len()) {
-            stack.remove(0);
+        if let Some(connections) = self
+            .idle
+            .values_mut()
+            .filter(|connections| !connections.is_empty())
+            .max_by_key(|connections| connections.len())
+        {
+            connections.remove(0);
         }
     }
 
--- a/crates/gateway/benches/pool.rs
+++ b/crates/gateway/benches/pool.rs
@@ -1,8 +1,8 @@
-//! Checkout and release of one connection a request: time and allocations at 10 and 200 backends, the pool beside
-//! the one before it, in turn in one run. `cargo bench --bench pool` prints a row each.
+//! Benchmarks checkout and release of one connection per request: time and allocations with 10 and 200 backends. The
+//! pool and the baseline pool take turns in one run. `cargo bench --bench pool` prints one row for each.
 mod baseline;
 
-use baseline::Baseline;
+use baseline::BaselinePool;
 use lanespan_gateway::config::document::PoolSection;
 use lanespan_gateway::pool::{
     Checkout, IncarnationId, PoolEnvironment, PoolSettings, PoolState, Poolable, WaiterId, SETTLE_TIME,
@@ -19,10 +19,10 @@
 const MAX_CONNECTIONS: usize = 256;
 const CONN_IDLE: Duration = Duration::from_secs(30);
 
-/// A connection that costs nothing to check, or a socket that the system is asked about.
-struct Cheap(Option<(UnixStream, UnixStream)>);
+/// A connection without a socket, whose checks cost nothing, or one with a socket that is checked for unread data.
+struct BenchConnection(Option<(UnixStream, UnixStream)>);
 
-impl Poolable for Cheap {
+impl Poolable for BenchConnection {
     fn is_usable(&mut self) -> bool {
         true
     }
@@ -33,44 +33,48 @@
     }
 }
 
-fn connection(sockets: bool) -> Cheap {
+fn connection(sockets: bool) -> BenchConnection {
     let pair = || {
         let (near, far) = UnixStream::pair().expect("a pair of sockets");
-        near.set_nonblocking(true).expect("a mode that every socket has");
+        near.set_nonblocking(true).expect("sockets support non-blocking mode");
         (near, far)
     };
-    Cheap(sockets.then(pair))
+    BenchConnection(sockets.then(pair))
 }
 
-/// A pool with one idle connection to each backend, and how one request goes through it.
+/// A pool with one idle connection to each backend.
 trait Subject {
-    fn request(&mut self, now: Instant, at: usize);
+    /// Checks out and releases a connection for one request.
+    fn request(&mut self, now: Instant, backend: usize);
 }
 
-struct BaselinePool(Baseline<Cheap>);
+struct BaselineSubject(BaselinePool<BenchConnection>);
 
-impl BaselinePool {
-    fn new(backends: usize, sockets: bool, now: Instant) -> BaselinePool {
-        let mut pool = Baseline::new(MAX_CONNECTIONS, CONN_IDLE);
-        for at in 0..backends {
-            assert!(pool.checkout(now, at as u64).is_some_and(|idle| idle.is_none()), "none is idle yet");
-            pool.give_back(now, at as u64, connection(sockets));
+impl BaselineSubject {
+    fn new(backends: usize, sockets: bool, now: Instant) -> BaselineSubject {
+        let mut pool = BaselinePool::new(MAX_CONNECTIONS, CONN_IDLE);
+        for backend in 0..backends {
+            assert!(
+                pool.checkout(now, backend as u64).is_some_and(|idle| idle.is_none()),
+                "no connection is idle yet"
+            );
+            pool.release(now, backend as u64, connection(sockets));
         }
-        BaselinePool(pool)
+        BaselineSubject(pool)
     }
 }
 
-impl Subject for BaselinePool {
-    fn request(&mut self, now: Instant, at: usize) {
-        let connection = self.0.checkout(now, at as u64).flatten().expect("it is idle");
-        self.0.give_back(now, at as u64, black_box(connection));
+impl Subject for BaselineSubject {
+    fn request(&mut self, now: Instant, backend: usize) {
+        let connection = self.0.checkout(now, backend as u64).flatten().expect("an idle connection");
+        self.0.release(now, backend as u64, black_box(connection));
     }
 }
 
-struct CurrentPool(PoolState<Cheap>, Vec<IncarnationId>);
+struct PoolSubject(PoolState<BenchConnection>, Vec<IncarnationId>);
 
-impl CurrentPool {
-    fn new(backends: usize, sockets: bool, now: Instant) -> CurrentPool {
+impl PoolSubject {
+    fn new(backends: usize, sockets: bool, now: Instant) -> PoolSubject {
         let environment = PoolEnvironment {
             default_connections: MAX_CONNECTIONS,
             max_connections: MAX_CONNECTIONS,
@@ -86,22 +90,25 @@
             let checkout = state.checkout(now, id, WaiterId(waiter as u64));
             assert!(matches!(checkout, Checkout::Wait { dial: true, .. }));
             let (_, connection) =
-                state.dial_ended(now, id, Ok(connection(sockets))).granted.expect("for the waiter");
+                state.dial_ended(now, id, Ok(connection(sockets))).granted.expect("granted to the waiter");
             state.release(now, id, connection, true);
         }
-        CurrentPool(state, ids)
+        PoolSubject(state, ids)
     }
 }
 
-impl Subject for CurrentPool {
-    fn request(&mut self, now: Instant, at: usize) {
-        let id = self.1[at];
-        let Checkout::Idle(connection) = self.0.checkout(now, id, WaiterId(0)) else { panic!("it is idle") };
+impl Subject for PoolSubject {
+    fn request(&mut self, now: Instant, backend: usize) {
+        let id = self.1[backend];
+        let Checkout::Idle(connection) = self.0.checkout(now, id, WaiterId(0)) else {
+            panic!("no idle connection")
+        };
         self.0.release(now, id, black_box(connection), true);
     }
 }
 
-/// Nanoseconds a request, each on the next backend, 10 ms after the last one there at the least.
+/// Sends one round of requests and returns the nanoseconds per request. The backends take turns, and requests to the
+/// same backend are 10 ms apart.
 fn round(subject: &mut dyn Subject, backends: usize, now: &mut Instant) -> f64 {
     let start = std::time::Instant::now();
     for i in 0..REQUESTS {
@@ -113,12 +120,12 @@
 
 fn compare(backends: usize, sockets: bool) {
     let start = Instant::now();
-    let mut old = BaselinePool::new(backends, sockets, start);
-    let mut new = CurrentPool::new(backends, sockets, start);
+    let mut old = BaselineSubject::new(backends, sockets, start);
+    let mut new = PoolSubject::new(backends, sockets, start);
     let subjects: [(&str, &mut dyn Subject); 2] = [("before", &mut old), ("pool", &mut new)];
     let settled = start + 2 * SETTLE_TIME;
     let mut rows = subjects.map(|(name, subject)| (name, subject, settled, Vec::new()));
-    // The first round is not counted.
+    // The first round warms up and is not counted.
     for counted in std::iter::once(false).chain([true; ROUNDS]) {
         for (_, subject, now, times) in &mut rows {
             let time = round(*subject, backends, now);
--- a/crates/gateway/src/pool/state/dial.rs
+++ b/crates/gateway/src/pool/state/dial.rs
@@ -18,9 +18,9 @@
 }
 
 impl<C: Poolable> PoolState<C> {
-    /// Begins a dial if there are more waiting requests than connections that are idle or being dialled. Returns
-    /// whether the caller must dial. There is one dial per request: each connection that settles or is being dialled
-    /// already serves one of them.
+    /// Begins a dial if more requests wait than connections are expected to become free. Returns whether the caller
+    /// must dial. There is one dial per request: each connection that settles or is being dialled already serves one of
+    /// them.
     pub(super) fn dial_for_waiters(&mut self, now: Instant, id: IncarnationId) -> bool {
         let Some(backend) = self.backends.get(&id) else { return false };
         backend.in_service
--- a/crates/gateway/tests/fleet_pools.rs
+++ b/crates/gateway/tests/fleet_pools.rs
@@ -1,9 +1,10 @@
-//! Many gateways' pools before one set of loopback backends, on paused time: how many connections each backend
-//! holds, and how many are opened within 100 ms after all backends were replaced, beside the pool before.
+//! Tests the pools of many gateways with a shared set of loopback backends on a paused clock: how many connections each
+//! backend holds, and how many are opened within 100 ms after all backends were replaced, compared with the baseline
+//! pool.
 #[path = "../benches/baseline/mod.rs"]
 mod baseline;
 
-use baseline::Baseline;
+use baseline::BaselinePool;
 use lanespan_gateway::config::document::PoolSection;
 use lanespan_gateway::http::Connection;
 use lanespan_gateway::pool::{Backend, Pool, PoolEnvironment, PoolSettings};
@@ -19,51 +20,51 @@
 const GATEWAYS: usize = 24;
 const BACKENDS: usize = 8;
 const MS: Duration = Duration::from_millis(1);
-/// How long a backend takes for a request.
-const WORK: Duration = Duration::from_millis(50);
+/// How long a request holds its connection.
+const REQUEST_TIME: Duration = Duration::from_millis(50);
 const WINDOW: Duration = Duration::from_millis(100);
 const LONG: Duration = Duration::from_secs(5);
-/// What a gateway of a fleet of 300 may hold at one backend by default.
-const MAX_PER_GATEWAY: usize = 4;
+/// The default limit on the connections of one gateway to one backend in a fleet of 300.
+const MAX_BACKEND_CONNECTIONS: usize = 4;
 
-/// A backend that counts its connections.
+/// A backend that records its open connections, their peak, and when each was opened.
 #[derive(Clone, Default)]
-struct Counted {
+struct CountingBackend {
     open: Rc<Cell<usize>>,
-    most: Rc<Cell<usize>>,
+    peak: Rc<Cell<usize>>,
     opened: Rc<RefCell<Vec<Instant>>>,
 }
 
-impl Counted {
-    async fn start() -> (Counted, SocketAddr) {
+impl CountingBackend {
+    async fn start() -> (CountingBackend, SocketAddr) {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("bound");
-        let counted = Counted::default();
-        let here = counted.clone();
+        let backend = CountingBackend::default();
+        let server = backend.clone();
         spawn_local(async move {
             while let Ok((mut stream, _)) = listener.accept().await {
-                here.open.set(here.open.get() + 1);
-                here.most.set(here.most.get().max(here.open.get()));
-                here.opened.borrow_mut().push(Instant::now());
-                let here = here.clone();
+                server.open.set(server.open.get() + 1);
+                server.peak.set(server.peak.get().max(server.open.get()));
+                server.opened.borrow_mut().push(Instant::now());
+                let server = server.clone();
                 spawn_local(async move {
                     let _ = stream.read_u8().await;
-                    here.open.set(here.open.get() - 1);
+                    server.open.set(server.open.get() - 1);
                 });
             }
         });
-        (counted, address)
+        (backend, address)
     }
 }
 
-async fn fleet() -> (Vec<Counted>, Vec<SocketAddr>) {
-    let mut all = (Vec::new(), Vec::new());
+async fn start_backends() -> (Vec<CountingBackend>, Vec<SocketAddr>) {
+    let mut started = (Vec::new(), Vec::new());
     for _ in 0..BACKENDS {
-        let (counted, address) = Counted::start().await;
-        all.0.push(counted);
-        all.1.push(address);
+        let (backend, address) = CountingBackend::start().await;
+        started.0.push(backend);
+        started.1.push(address);
     }
-    all
+    started
 }
 
 fn settings(section: serde_json::Value) -> PoolSettings {
@@ -75,14 +76,15 @@
         dial_timeout: 250 * MS,
         backend_idle_timeout: Duration::from_secs(30),
     };
-    let section: Option<PoolSection> = serde_json::from_value(section).expect("a section that can be read");
-    PoolSettings::from_section(&section.unwrap_or_default(), &environment)
-        .expect("a section that makes sense")
+    let section: Option<PoolSection> = serde_json::from_value(section).expect("a readable section");
+    PoolSettings::from_section(&section.unwrap_or_default(), &environment).expect("a valid section")
 }
 
-/// One gateway's way to its backends: a request is the use of a connection for a while.
+/// The connection pool of one gateway. A request holds a connection for [`REQUEST_TIME`].
 trait Gateway {
+    /// Replaces all backends.
     fn replace(&mut self, addresses: &[SocketAddr]);
+    /// Makes one request and returns whether it got a connection.
     async fn request(&self, backend: usize) -> bool;
 }
 
@@ -100,9 +102,9 @@
 impl Gateway for PoolGateway {
     fn replace(&mut self, addresses: &[SocketAddr]) {
         let old = std::mem::take(&mut self.backends);
-        let follows = |i: usize| old.get(i).map(|backend| &**backend);
+        let predecessor = |i: usize| old.get(i).map(|backend| &**backend);
         let new = addresses.iter().enumerate();
-        self.backends = new.map(|(i, &a)| Rc::new(self.pool.add_backend(a, 0, follows(i)))).collect();
+        self.backends = new.map(|(i, &a)| Rc::new(self.pool.add_backend(a, 0, predecessor(i)))).collect();
         old.iter().for_each(|backend| self.pool.close(backend));
     }
     async fn request(&self, backend: usize) -> bool {
@@ -110,57 +112,58 @@
     }
 }
 
-/// Holds a connection for as long as a backend takes.
+/// Holds a connection for [`REQUEST_TIME`]. Returns whether one was available.
 async fn hold_connection(pool: &Rc<Pool>, backend: &Backend) -> bool {
     let Ok(connection) = pool.checkout(backend, Instant::now() + LONG).await else { return false };
-    sleep(WORK).await;
+    sleep(REQUEST_TIME).await;
     connection.release();
     true
 }
 
 struct BaselineGateway {
-    pool: RefCell<Baseline<Connection>>,
+    pool: RefCell<BaselinePool<Connection>>,
     addresses: Vec<SocketAddr>,
-    /// Grows with each list, so that no connection passes from one backend to the next.
-    first: u64,
+    /// The id of the first backend. Grows with each replacement, so that a new backend never gets an old connection.
+    first_id: u64,
 }
 
 impl Gateway for BaselineGateway {
     fn replace(&mut self, addresses: &[SocketAddr]) {
-        (0..BACKENDS as u64).for_each(|i| self.pool.borrow_mut().close(self.first + i));
-        self.first += BACKENDS as u64;
+        (0..BACKENDS as u64).for_each(|i| self.pool.borrow_mut().close(self.first_id + i));
+        self.first_id += BACKENDS as u64;
         self.addresses = addresses.to_vec();
     }
     async fn request(&self, backend: usize) -> bool {
-        let serial = self.first + backend as u64;
-        let idle = self.pool.borrow_mut().checkout(Instant::now(), serial).expect("a place");
+        let id = self.first_id + backend as u64;
+        let idle = self.pool.borrow_mut().checkout(Instant::now(), id).expect("the limit is not reached");
         let connection = match idle {
             Some(connection) => connection,
-            None => Connection::open(self.addresses[backend]).await.expect("it listens"),
+            None => Connection::open(self.addresses[backend]).await.expect("the backend listens"),
         };
-        sleep(WORK).await;
-        if serial >= self.first {
-            self.pool.borrow_mut().give_back(Instant::now(), serial, connection);
+        sleep(REQUEST_TIME).await;
+        if id >= self.first_id {
+            self.pool.borrow_mut().release(Instant::now(), id, connection);
         }
         true
     }
 }
 
-/// What was seen after all backends were replaced at once.
+/// The measurements after all backends were replaced at once.
 #[derive(Debug)]
-struct Observed {
+struct Measurements {
     served: usize,
-    /// The most connections at one backend.
-    at_one: usize,
-    /// The most opened within the window, by all gateways.
-    opened: usize,
+    /// The peak of connections at one backend.
+    peak_at_backend: usize,
+    /// The maximum number of connections opened by all gateways within a window.
+    peak_opened: usize,
 }
 
-/// All backends are replaced; each gateway has requests for all of them, half of them for one.
-async fn replace_all_backends(mut gateways: Vec<impl Gateway + 'static>) -> Observed {
-    let (_first, addresses) = fleet().await;
+/// Replaces all backends, then sends 24 requests from each gateway: half of them to one backend, the others to random
+/// backends.
+async fn replace_all_backends(mut gateways: Vec<impl Gateway + 'static>) -> Measurements {
+    let (_first, addresses) = start_backends().await;
     gateways.iter_mut().for_each(|gateway| gateway.replace(&addresses));
-    let (second, addresses) = fleet().await;
+    let (second, addresses) = start_backends().await;
     gateways.iter_mut().for_each(|gateway| gateway.replace(&addresses));
     let mut requests = JoinSet::new();
     for (i, gateway) in gateways.into_iter().map(Rc::new).enumerate() {
@@ -178,49 +181,55 @@
     let mut opened: Vec<Instant> = second.iter().flat_map(|b| b.opened.borrow().clone()).collect();
     opened.sort();
     let within = |from: &Instant| opened.iter().filter(|at| (*from..*from + WINDOW).contains(at)).count();
-    Observed {
+    Measurements {
         served,
-        at_one: second.iter().map(|b| b.most.get()).max().unwrap_or(0),
-        opened: opened.iter().map(within).max().unwrap_or(0),
+        peak_at_backend: second.iter().map(|b| b.peak.get()).max().unwrap_or(0),
+        peak_opened: opened.iter().map(within).max().unwrap_or(0),
     }
 }
 
-fn on_paused_time<T>(work: impl std::future::Future<Output = T>) -> T {
+fn on_paused_clock<T>(future: impl std::future::Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build();
-    LocalSet::new().block_on(&runtime.expect("a runtime"), work)
+    LocalSet::new().block_on(&runtime.expect("a runtime"), future)
 }
 
 #[test]
 fn replacing_all_backends_keeps_each_within_the_sum_of_the_gateways_limits() {
-    let old = on_paused_time(async {
-        let pool = || RefCell::new(Baseline::new(256, Duration::from_secs(30)));
+    let baseline_result = on_paused_clock(async {
+        let pool = || RefCell::new(BaselinePool::new(256, Duration::from_secs(30)));
         replace_all_backends(
             (0..GATEWAYS)
-                .map(|_| BaselineGateway { pool: pool(), addresses: Vec::new(), first: 0 })
+                .map(|_| BaselineGateway { pool: pool(), addresses: Vec::new(), first_id: 0 })
                 .collect(),
         )
         .await
     });
-    let new = on_paused_time(async {
+    let pool_result = on_paused_clock(async {
         let gateway = |seed| PoolGateway::start(serde_json::Value::Null, seed);
         replace_all_backends((0..GATEWAYS as u64).map(gateway).collect()).await
     });
-    println!("before: {old:?}\npool:   {new:?}");
-    assert_eq!((old.served, new.served), (GATEWAYS * 24, GATEWAYS * 24));
-    assert!(new.at_one <= GATEWAYS * MAX_PER_GATEWAY, "{new:?}");
-    assert!(old.at_one > 2 * new.at_one, "{old:?} {new:?}");
-    assert!(3 * new.opened < 2 * old.opened, "{old:?} {new:?}");
+    println!("baseline: {baseline_result:?}\npool:     {pool_result:?}");
+    assert_eq!((baseline_result.served, pool_result.served), (GATEWAYS * 24, GATEWAYS * 24));
+    assert!(pool_result.peak_at_backend <= GATEWAYS * MAX_BACKEND_CONNECTIONS, "{pool_result:?}");
+    assert!(
+        baseline_result.peak_at_backend > 2 * pool_result.peak_at_backend,
+        "{baseline_result:?} {pool_result:?}"
+    );
+    assert!(
+        3 * pool_result.peak_opened < 2 * baseline_result.peak_opened,
+        "{baseline_result:?} {pool_result:?}"
+    );
 }
 
 #[test]
-fn preconnects_are_paced_and_only_to_backends_in_use() {
-    on_paused_time(async {
+fn preconnects_are_rate_limited_and_only_to_backends_in_use() {
+    on_paused_clock(async {
         let section = serde_json::json!({"warm_up": true, "warm_per_s": 4, "warm_burst": 2});
         let mut gateways: Vec<PoolGateway> =
             (0..GATEWAYS as u64).map(|seed| PoolGateway::start(section.clone(), seed)).collect();
-        let (_first, addresses) = fleet().await;
+        let (_first, addresses) = start_backends().await;
         gateways.iter_mut().for_each(|gateway| gateway.replace(&addresses));
-        // Each uses all but the last two.
+        // Each gateway uses all backends but the last two.
         for _ in 0..10 {
             let mut round = JoinSet::new();
             for gateway in &gateways {
@@ -231,7 +240,7 @@
             }
             assert!(round.join_all().await.into_iter().all(|served| served));
         }
-        let (second, addresses) = fleet().await;
+        let (second, addresses) = start_backends().await;
         gateways.iter_mut().for_each(|gateway| gateway.replace(&addresses));
         let before: Vec<u64> = gateways.iter().map(|g| g.pool.counters().dials).collect();
         for step in 1..=12 {
@@ -240,18 +249,22 @@
                     gateway.backends.iter().filter(|b| gateway.pool.wants_preconnect(b)).cloned().collect();
                 gateway.pool.preconnect(&wanting, 250 * MS);
                 let dials = gateway.pool.counters().dials - before;
-                assert!(dials <= 2 + step, "{dials} after {step} quarters of a second");
+                assert!(dials <= 2 + step, "{dials} dials after {step} quarters of a second");
             }
             sleep(250 * MS).await;
         }
         sleep(250 * MS).await;
         let opened: Vec<usize> = second.iter().map(|b| b.opened.borrow().len()).collect();
-        assert_eq!(opened, [24, 24, 24, 24, 24, 24, 0, 0], "one for each gateway where it is used");
+        assert_eq!(
+            opened,
+            [24, 24, 24, 24, 24, 24, 0, 0],
+            "one connection per gateway to each backend in use"
+        );
         let mut all: Vec<Instant> = second.iter().flat_map(|b| b.opened.borrow().clone()).collect();
         all.sort();
         let within = |from: &Instant| all.iter().filter(|at| (*from..*from + WINDOW).contains(at)).count();
         let busiest = all.iter().map(within).max();
-        println!("ahead of need: {busiest:?} of {} within 100 ms", all.len());
+        println!("preconnects: {busiest:?} of {} within 100 ms", all.len());
         assert!(busiest < Some(GATEWAYS * 6 / 4), "{busiest:?}");
     });
 }
