--- a/crates/gateway/src/backend/exchange.rs
+++ b/crates/gateway/src/backend/exchange.rs
@@ -74,8 +74,8 @@
                 true => Outcome::NotSent,
                 false => outcome::without_connection(error),
             })?;
-        // The backend may have begun to drain while the attempt waited for the connection. After
-        // `begin_by` a retried request could run twice, because its backend may no longer remember the first attempt.
+        // The backend may have begun to drain while the attempt waited for the connection. After `begin_by` a retried
+        // request could run twice, because its backend may no longer remember the first attempt.
         if !self.backend.open.get() || Instant::now() > self.begin_by {
             return Err(Outcome::NotSent);
         }
--- a/crates/gateway/src/pool/connection_limit.rs
+++ b/crates/gateway/src/pool/connection_limit.rs
@@ -13,7 +13,8 @@
 /// How long failures are ignored after a decrease, because those of requests and dials that were already in progress
 /// carry no new information.
 const DECREASE_INTERVAL: Duration = Duration::from_millis(100);
-/// How long the limit must be reached before it is raised by one connection. Jittered by up to a quarter either way.
+/// The interval at which the limit is raised by one connection while it is reached. Jittered by up to a quarter either
+/// way.
 const INCREASE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The adaptive connection limit for one backend.
@@ -61,8 +62,8 @@
         self.increase_at = None;
     }
 
-    /// Raises the limit if it has been reached for long enough, after a request succeeded while `held` connections were
-    /// held. `jitter` is from 0 to 1 and keeps gateways from raising their limits in step.
+    /// Records that a request succeeded while `held` connections were held, and raises the limit if it is reached and
+    /// the increase is due. `jitter` is from 0 to 1 and keeps gateways from raising their limits in step.
     pub(super) fn request_succeeded(
         &mut self,
         now: Instant,
--- a/crates/gateway/tests/pool.rs
+++ b/crates/gateway/tests/pool.rs
@@ -576,7 +576,7 @@
 }
 
 #[test]
-fn preconnects_are_paced_when_all_backends_are_replaced() {
+fn preconnects_are_rate_limited_when_all_backends_are_replaced() {
     let mut dials = Vec::new();
     for seed in 0..40 {
         let section = serde_json::json!({"warm_up": true, "warm_per_s": 2, "warm_burst": 2});
