--- a/crates/fleet/src/replication.rs
+++ b/crates/fleet/src/replication.rs
@@ -1,6 +1,6 @@
 //! The replicated fleet document: a few voters agree on its entries by Raft, and all gateways act on it (docs/plan.md).
-//! Configuration, commands and wire formats call it the fleet plan. Nothing here does I/O: messages, time and the
-//! store's confirmations come in, messages and writes go out. Nothing of it is on a request's path.
+//! Configuration, commands and wire formats call it the fleet plan. This module does no I/O: its inputs are messages,
+//! time and the store's confirmations, its outputs are messages and writes. It is not on the path of any request.
 
 pub mod document;
 pub mod lease;
--- a/crates/fleet/src/replication/document.rs
+++ b/crates/fleet/src/replication/document.rs
@@ -1,6 +1,6 @@
-//! The fleet document and how a log entry changes it: a pure function, the same on every build. The meaning of an
-//! item belongs to the part of the program that reads its section; sections that this build does not know are kept
-//! and passed on like any other.
+//! The fleet document and the function that applies a log entry to it. The function is pure and the same in every
+//! build. Items are interpreted by the part of the program that reads their section; sections that this build does not
+//! know are stored and replicated like any other.
 
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
@@ -12,23 +12,23 @@
 pub const SCHEMA_VERSION: u32 = 1;
 /// The sections that this build knows.
 pub const KNOWN_SECTIONS: [&str; 5] = [VOTERS_SECTION, LEASES_SECTION, "failover", "versions", "work"];
-/// Section of the voters: name to identity and address.
+/// The section of the voters: maps a voter's name to its identity and address.
 pub const VOTERS_SECTION: &str = "voters";
-/// Section of the leases: role to [`Grant`].
+/// The section of the leases: maps a role to its [`Grant`].
 pub const LEASES_SECTION: &str = "duties";
 
-/// The longest section, key or proposer.
+/// The maximum length of a section, a key or a proposer.
 const MAX_NAME_BYTES: usize = 64;
-/// The longest reason.
+/// The maximum length of a reason.
 const MAX_REASON_BYTES: usize = 256;
-/// The longest value of an item.
+/// The maximum length of an item's value.
 const MAX_VALUE_BYTES: usize = 4 << 10;
-/// The longest entry in its written form.
+/// The maximum length of an entry in its JSON form.
 pub const MAX_ENTRY_BYTES: usize = 8 << 10;
-/// The most items of all sections together.
+/// The maximum number of items in all sections together.
 const MAX_ITEMS: usize = 1_024;
-/// How many of the latest proposals are recognised as duplicates when they are sent again.
-const REMEMBERED_PROPOSALS: usize = 1_024;
+/// The number of latest proposals that are recognised as duplicates when they are sent again.
+const MAX_RECENT_PROPOSALS: usize = 1_024;
 
 /// The position of an entry in the voters' log. Positions order by term, then index, so that the position of a
 /// grant serves as the fencing token of its lease.
@@ -49,13 +49,13 @@
 /// The fencing token of a lease: the log position of its grant.
 pub type FencingToken = LogPosition;
 
-/// The lease by which its holder proposes a change. Written as a pair.
+/// Names the lease under which its holder proposes a change. Serialized as a pair.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(String, FencingToken)", into = "(String, FencingToken)")]
 pub struct LeaseProof {
-    /// The role that the proposer holds.
+    /// The role whose lease the proposer holds.
     pub role: String,
-    /// The token under which it holds it.
+    /// The fencing token of that lease.
     pub token: FencingToken,
 }
 
@@ -75,35 +75,35 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Proposal {
-    /// Identifies the proposal: one that is sent twice is applied once.
+    /// The id of the proposal. A proposal that is sent twice is applied once.
     pub id: u64,
     /// The schema version of this entry.
     pub schema: u32,
-    /// Who proposes it.
+    /// The name of the proposer.
     pub proposer: String,
-    /// Why it is proposed.
+    /// The reason for the change.
     pub reason: String,
-    /// A digest of the evidence behind it; may be empty.
+    /// A digest of the evidence for the change; may be empty.
     pub evidence: String,
-    /// The document's index that the proposer saw; `None`: any.
+    /// The index at which the document must be; `None`: any.
     #[serde(rename = "expected")]
     pub expected_index: Option<u64>,
-    /// The index at which the item was last changed, 0 if it must be absent; `None`: any.
+    /// The index at which the item must have been last changed; 0: it must not exist; `None`: any.
     #[serde(rename = "after")]
     pub expected_item_index: Option<u64>,
-    /// The lease by which it is proposed, where the proposer acts as a lease holder.
+    /// The lease that must still be in force; set where the proposer acts as a lease holder.
     #[serde(rename = "duty")]
     pub lease: Option<LeaseProof>,
-    /// The section.
+    /// The section of the item.
     pub section: String,
-    /// The item's key.
+    /// The key of the item.
     pub key: String,
-    /// The item's new value; `None` removes the item.
+    /// The new value of the item; `None` removes the item.
     pub value: Option<String>,
 }
 
 impl Proposal {
-    /// Checks the fields' limits. Whether it applies depends on the document.
+    /// Checks the limits of the fields. The preconditions are checked when the proposal is applied to a document.
     pub fn check(&self) -> Result<(), Rejection> {
         check_name("section", &self.section)?;
         check_name("key", &self.key)?;
@@ -118,19 +118,19 @@
     }
 }
 
-/// Why a proposal changes nothing.
+/// Why a proposal was rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, Error)]
 pub enum Rejection {
     /// The document is no longer at the expected index.
     #[serde(rename = "Moved")]
-    #[error("the plan has gone on to index {0}")]
+    #[error("the plan is at index {0}, not at the expected index")]
     DocumentChanged(u64),
-    /// The item was last changed at another index than expected; 0: it does not exist.
+    /// The item was last changed at this index, not at the expected one; 0: the item does not exist.
     #[serde(rename = "Changed")]
     #[error("{}", describe_item_change(.0))]
     ItemChanged(u64),
-    /// The lease has passed to the holder of this token.
-    #[error("the duty has passed on under token {0}")]
+    /// The proposer's token is not the current token of the role's lease, which is this one.
+    #[error("the proposer's token for the duty is out of date: the current token is {0}")]
     Fenced(FencingToken),
     /// The proposal can't be parsed, or a field exceeds its limits.
     #[serde(rename = "Unsound")]
@@ -138,27 +138,27 @@
     Invalid(String),
     /// The document has reached its maximum number of items.
     #[serde(rename = "Full")]
-    #[error("the plan holds {MAX_ITEMS} items, and takes no more")]
+    #[error("the plan already holds the maximum of {MAX_ITEMS} items")]
     DocumentFull,
 }
 
 fn describe_item_change(index: &u64) -> String {
     match index {
-        0 => "the item is not there".to_string(),
-        index => format!("the item was changed at index {index}"),
+        0 => "the item does not exist".to_string(),
+        index => format!("the item was last changed at index {index}, not at the expected index"),
     }
 }
 
 /// The result of a proposal that the voters have committed to their log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Verdict {
-    /// It became the document's entry of this index.
+    /// The proposal became the document's entry at this index.
     #[serde(rename = "Agreed")]
     Accepted(u64),
-    /// It had been accepted before, at this index.
+    /// The proposal had already been accepted, at this index.
     #[serde(rename = "Known")]
     Duplicate(u64),
-    /// It changes nothing.
+    /// The proposal was rejected and does not change the document.
     #[serde(rename = "Refused")]
     Rejected(Rejection),
 }
@@ -166,18 +166,18 @@
 /// One entry of the document's history.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// The document's index with this entry: the first is 1.
+    /// The index of the document after this entry; the first entry has index 1.
     pub index: u64,
-    /// The entry's position in the voters' log.
+    /// The position of the entry in the voters' log.
     pub position: LogPosition,
-    /// The proposal as it was written.
+    /// The JSON text of the proposal, as stored in the log.
     pub text: String,
-    /// The document's digest with this entry.
+    /// The digest of the document after this entry.
     pub digest: u64,
 }
 
 impl Entry {
-    /// The proposal, if this build can parse it.
+    /// Parses the proposal; `None` if this build can't parse it.
     pub fn proposal(&self) -> Option<Proposal> {
         serde_json::from_str(&self.text).ok()
     }
@@ -186,52 +186,52 @@
 /// One item of the document.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Item {
-    /// The value.
+    /// The value of the item.
     pub value: String,
-    /// The document's index at which the item was last changed.
+    /// The index of the document at which the item was last changed.
     pub index: u64,
     /// The log position of that change.
     pub position: LogPosition,
 }
 
-/// The grant of a lease: the value of an item of [`LEASES_SECTION`].
+/// The grant of a lease, stored as the value of an item of [`LEASES_SECTION`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Grant {
     /// The gateway that holds the lease.
     pub holder: String,
-    /// The holder's incarnation.
+    /// The incarnation of the holder.
     #[serde(rename = "life")]
     pub incarnation: u64,
     /// How long the lease lasts without a renewal, in microseconds.
     pub ttl: u64,
 }
 
-/// A grant with the fencing token that it carries.
+/// The current grant of a role's lease, with its fencing token.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CurrentGrant {
     /// The grant.
     pub grant: Grant,
-    /// The log position of its entry.
+    /// The log position of the grant's entry.
     pub token: FencingToken,
 }
 
-/// The document at one index.
+/// The fleet document at one index.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Document {
-    /// Distinguishes this document from one that was founded anew; 0: none is known yet.
+    /// Distinguishes this document from one that was bootstrapped separately; 0: no document is known yet.
     pub id: u64,
     /// The index of the last entry.
     pub index: u64,
-    /// The digest of the whole history up to here.
+    /// The digest of the complete history up to `index`.
     pub digest: u64,
     /// The items by section and key.
     pub sections: BTreeMap<String, BTreeMap<String, Item>>,
-    /// The latest proposals' ids with their indexes.
+    /// The ids of the latest accepted proposals, with the indexes at which they were accepted.
     recent: VecDeque<(u64, u64)>,
 }
 
 impl Document {
-    /// A new document whose first voters are these.
+    /// Creates a document with these first voters and no entries.
     pub fn bootstrap(id: u64, voters: &BTreeMap<String, String>) -> Document {
         let item = |value: &String| Item { value: value.clone(), index: 0, position: LogPosition::default() };
         let voters = voters.iter().map(|(name, value)| (name.clone(), item(value))).collect();
@@ -239,12 +239,12 @@
         Document { id, digest: id, sections, ..Document::default() }
     }
 
-    /// An item.
+    /// Returns an item.
     pub fn item(&self, section: &str, key: &str) -> Option<&Item> {
         self.sections.get(section)?.get(key)
     }
 
-    /// The grant of a role's lease, whether or not it has expired.
+    /// Returns the grant of a role's lease, whether or not it has expired.
     pub fn grant(&self, role: &str) -> Option<CurrentGrant> {
         let item = self.item(LEASES_SECTION, role)?;
         let grant = serde_json::from_str(&item.value).ok()?;
@@ -255,7 +255,7 @@
         self.sections.values().map(BTreeMap::len).sum()
     }
 
-    /// Applies a committed proposal. One that is rejected or a duplicate changes nothing and yields no entry.
+    /// Applies a committed proposal. A rejected or duplicate proposal does not change the document and yields no entry.
     pub fn apply(&mut self, position: LogPosition, text: &str) -> (Verdict, Option<Entry>) {
         let proposal = match parse(text) {
             Ok(proposal) => proposal,
@@ -269,16 +269,16 @@
         }
         self.index += 1;
         let index = self.index;
-        self.remember(proposal.id, index);
+        self.record_accepted(proposal.id, index);
         self.change_item(proposal, index, position);
         self.digest = chain_digest(self.digest, index, position, text);
         let entry = Entry { index, position, text: text.to_string(), digest: self.digest };
         (Verdict::Accepted(index), Some(entry))
     }
 
-    fn remember(&mut self, proposal: u64, index: u64) {
+    fn record_accepted(&mut self, proposal: u64, index: u64) {
         self.recent.push_back((proposal, index));
-        if self.recent.len() > REMEMBERED_PROPOSALS {
+        if self.recent.len() > MAX_RECENT_PROPOSALS {
             self.recent.pop_front();
         }
     }
@@ -322,7 +322,7 @@
     }
 }
 
-/// Parses an entry and checks its limits.
+/// Parses the JSON text of a proposal and checks its limits.
 fn parse(text: &str) -> Result<Proposal, Rejection> {
     if text.len() > MAX_ENTRY_BYTES {
         return Err(Rejection::Invalid(format!("longer than {MAX_ENTRY_BYTES} bytes")));
@@ -341,10 +341,11 @@
     Ok(())
 }
 
-/// A hash chain over all entries and their positions: equal exactly where equal histories led to an index.
-fn chain_digest(before: u64, index: u64, position: LogPosition, text: &str) -> u64 {
+/// Extends the hash chain over all entries and their positions by one entry. Digests at an index are equal exactly
+/// where the histories up to it are equal.
+fn chain_digest(previous_digest: u64, index: u64, position: LogPosition, text: &str) -> u64 {
     let mut bytes = Vec::with_capacity(32 + text.len());
-    for number in [before, index, position.term, position.index] {
+    for number in [previous_digest, index, position.term, position.index] {
         bytes.extend(number.to_be_bytes());
     }
     bytes.extend(text.as_bytes());
--- a/crates/fleet/src/replication/lease.rs
+++ b/crates/fleet/src/replication/lease.rs
@@ -1,12 +1,13 @@
-//! Leases of fleet-wide roles, with fencing tokens. A grant is an entry of the fleet document and its position in the
-//! voters' log is its fencing token; a renewal is the leader's answer, given once a majority has confirmed that it
+//! Leases of fleet-wide roles, with fencing tokens. A grant is an entry of the fleet document, and its position in the
+//! voters' log is its fencing token. A renewal is a response of the leader, sent once a majority has confirmed that it
 //! still leads.
 //!
-//! Why no two gateways hold one lease at a time: a holder counts its ttl from when it *sent* the renewal that
-//! succeeded, and stops one `CLOCK_DRIFT_DIVISOR`th early. The leader counts from when the renewal was confirmed,
-//! which is later, and waits one `CLOCK_DRIFT_DIVISOR`th longer. A new leader counts from when it had applied all
-//! entries of earlier terms, which is after any confirmation by its predecessor. So the holder stops first as long as
-//! no clock runs wrong by 4 in 100. Where all of that fails, late actions of the old holder are rejected by its token.
+//! At most one gateway holds a lease at a time. A holder measures the ttl from the time at which it *sent* the renewal
+//! that succeeded, and shortens it by ttl / `CLOCK_DRIFT_DIVISOR`. The leader measures it from the confirmation of the
+//! renewal, which is later, and extends it by ttl / `CLOCK_DRIFT_DIVISOR`. A new leader measures it from the time at
+//! which it had applied all entries of earlier terms, which is after any confirmation by its predecessor. The holder's
+//! lease therefore expires first as long as no clock is off by 4 in 100. Where all of that fails, late actions of the
+//! old holder are rejected because of its token.
 
 use super::document::{
     CurrentGrant, Document, FencingToken, Grant, LeaseProof, Proposal, LEASES_SECTION, SCHEMA_VERSION,
@@ -14,34 +15,34 @@
 use std::collections::{BTreeMap, BTreeSet};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The roles: the assessor of failover, and the keeper of the order of work.
+/// The fleet-wide roles: assessing failover, and ordering work.
 pub const ROLES: [&str; 2] = ["failover", "work"];
-/// A lease is shorter by one part in this many for its holder, and longer by as much for the leader.
+/// The holder's view of a lease is shorter than the ttl by ttl / this, the leader's view is longer by the same amount.
 const CLOCK_DRIFT_DIVISOR: u64 = 20;
-/// How often a lease is renewed within its ttl.
+/// The number of renewals of a lease within its ttl.
 const RENEWALS_PER_TTL: u64 = 3;
-/// An unanswered request is repeated after this at the latest, in microseconds, however long the lease is: a lease is
-/// acted on only once it was renewed, so one lost answer must not cost a part of a long lease.
-const MAX_RETRY_INTERVAL: u64 = 2_000_000;
+/// An unanswered request is repeated at the latest after this time, however long the lease is. A lease is not held
+/// until it is renewed for the first time, so otherwise one lost response would waste a part of a long lease.
+const MAX_RETRY_INTERVAL_US: u64 = 2_000_000;
 
-/// The proposer named in grants.
+/// The proposer of grants, as stored in the log.
 const LEADER_PROPOSER: &str = "the leader";
-/// The reason of a first grant.
+/// The reason for granting a role that has no grant, as stored in the log.
 const REASON_VACANT: &str = "nobody holds it";
-/// The reason of a release.
+/// The reason for a release, as stored in the log.
 const REASON_RELEASED: &str = "its holder leaves";
 
 /// An incarnation of a gateway that may hold leases.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Candidate {
-    /// The gateway's name.
+    /// The name of the gateway.
     pub name: String,
-    /// Its incarnation.
+    /// The incarnation of the gateway.
     pub incarnation: u64,
 }
 
 impl Candidate {
-    /// This incarnation of the gateway of this name.
+    /// Creates a candidate from a gateway's name and incarnation.
     pub fn new(name: impl Into<String>, incarnation: u64) -> Candidate {
         Candidate { name: name.into(), incarnation }
     }
@@ -51,7 +52,8 @@
     }
 }
 
-/// The candidate that is granted a role: rendezvous hashing, so that one that leaves moves only what it held.
+/// Chooses the candidate to grant a role to. Uses rendezvous hashing, so that when a candidate leaves, only the roles
+/// that it held move.
 pub fn rendezvous_choice<'a>(
     role: &str,
     candidates: impl Iterator<Item = &'a Candidate>,
@@ -62,41 +64,41 @@
     })
 }
 
-/// The last renewal of a lease.
+/// The last renewal of a lease, or its grant if it was not renewed yet.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Renewal {
     token: FencingToken,
     renewed_at: u64,
 }
 
-/// The leader's side: which leases are in force, and which roles to grant.
+/// The leader's state: which leases are in force, and which roles to grant.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct LeaseTable {
-    /// The term in which this voter leads.
+    /// The term in which this voter is the leader.
     term: u64,
-    /// When this leader had applied all entries of earlier terms.
+    /// The time at which this leader had applied all entries of earlier terms.
     leading_since: u64,
     /// The last renewal of each role's lease.
     renewals: BTreeMap<String, Renewal>,
-    /// Roles whose grant is proposed, with the proposal's id. Their leases have expired, so nobody renews them.
+    /// Roles with a proposed grant, and the id of the proposal. Their leases have expired, so they can't be renewed.
     pending_grants: BTreeMap<String, u64>,
-    /// Candidates that released a lease in this term and so are leaving, even if gossip has not said so yet.
+    /// Candidates that released a lease in this term. They are leaving, even if gossip has not announced it yet.
     leavers: BTreeSet<Candidate>,
 }
 
 impl LeaseTable {
-    /// The table of a voter that leads this term from now on.
+    /// Creates the table of a voter that leads in this term from now on.
     pub fn new(term: u64, now: u64) -> LeaseTable {
         LeaseTable { term, leading_since: now, ..LeaseTable::default() }
     }
 
-    /// Keeps a table within its term. A voter that leads again in a later one starts over: another leader may have
-    /// renewed leases in between.
+    /// Keeps the table if it belongs to this term, and otherwise creates a new one. A voter that leads again in a later
+    /// term starts with a new table, because another leader may have renewed leases in between.
     pub fn in_term(table: Option<LeaseTable>, term: u64, now: u64) -> LeaseTable {
         table.filter(|table| table.term == term).unwrap_or_else(|| LeaseTable::new(term, now))
     }
 
-    /// When a lease expires by the leader's clock.
+    /// Returns the time at which a lease expires by the leader's clock.
     fn expires_at(&self, role: &str, current: &CurrentGrant) -> u64 {
         let renewal = self.renewals.get(role).filter(|renewal| renewal.token == current.token);
         let renewed_at = renewal.map_or(0, |renewal| renewal.renewed_at);
@@ -108,30 +110,31 @@
         self.renewals.insert(role.to_string(), Renewal { token, renewed_at: now });
     }
 
-    /// A grant was committed: its lease runs from now.
+    /// Records that a grant was committed. Its lease starts now.
     pub fn record_grant(&mut self, role: &str, token: FencingToken, now: u64) {
         self.record_renewal(role, token, now);
         self.pending_grants.remove(role);
     }
 
-    /// A holder released its lease. Guards against granting it to the same incarnation again before gossip says that
-    /// it leaves.
+    /// Records that a holder released its lease. This keeps the lease from being granted to the same incarnation again
+    /// before gossip announces that it is leaving.
     pub fn record_release(&mut self, grant: Grant) {
         self.leavers.insert(Candidate { name: grant.holder, incarnation: grant.incarnation });
     }
 
-    /// A proposed grant was not accepted.
+    /// Records that a proposed grant was not accepted.
     pub fn grant_failed(&mut self, proposal: u64) {
         self.pending_grants.retain(|_, pending| *pending != proposal);
     }
 
-    /// Whether a lease can still be renewed. The answer counts only once a majority confirms that this voter leads.
+    /// Reports whether a lease can still be renewed. The result is valid only once a majority confirms that this voter
+    /// leads.
     pub fn may_renew(&self, document: &Document, role: &str, token: FencingToken, now: u64) -> bool {
         let current = document.grant(role).filter(|current| current.token == token);
         current.is_some_and(|current| now < self.expires_at(role, &current))
     }
 
-    /// Renews a lease now that a majority has confirmed this leader; false if the lease has expired.
+    /// Renews a lease; false if it has expired. Called after a majority has confirmed that this voter leads.
     pub fn renew(&mut self, document: &Document, role: &str, token: FencingToken, now: u64) -> bool {
         let renewable = self.may_renew(document, role, token, now);
         if renewable {
@@ -140,7 +143,7 @@
         renewable
     }
 
-    /// The grants to propose now: of each role that nobody holds or whose lease has expired.
+    /// Returns the grants to propose now: one for each role that has no grant or whose lease has expired.
     pub fn grants_due(
         &mut self,
         document: &Document,
@@ -149,7 +152,7 @@
         now: u64,
         mut next_id: impl FnMut() -> u64,
     ) -> Vec<Proposal> {
-        // No incarnation returns once it has left.
+        // An incarnation that has left does not return.
         self.leavers.retain(|leaver| candidates.contains(leaver));
         let mut proposals = Vec::new();
         for role in ROLES {
@@ -161,7 +164,7 @@
         proposals
     }
 
-    /// The grant to propose for one role, without an id.
+    /// Returns the grant to propose now for one role, without an id.
     fn grant_due(
         &self,
         document: &Document,
@@ -196,26 +199,26 @@
     }
 }
 
-/// One lease at its holder.
+/// A lease that is granted to this gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct HeldLease {
     token: FencingToken,
     ttl: u64,
-    /// The lease is held before this time; 0: it was not renewed yet.
+    /// The time at which the holder's view of the lease expires; 0: the lease is not held.
     held_until: u64,
-    /// When its renewal or, by a gateway that leaves, its release was last requested; 0: never.
+    /// The time of the last request to renew the lease or, if this gateway is leaving, to release it; 0: never.
     requested_at: u64,
 }
 
 impl HeldLease {
-    /// A lease that was granted and is not renewed yet.
+    /// Creates a lease that was granted and is not renewed yet.
     fn granted(current: &CurrentGrant) -> HeldLease {
         HeldLease { token: current.token, ttl: current.grant.ttl, held_until: 0, requested_at: 0 }
     }
 
-    /// Nothing was requested yet, or so long ago that the request is taken as lost.
+    /// Reports whether nothing was requested yet, or so long ago that the request is treated as lost.
     fn may_request(&self, now: u64) -> bool {
-        let retry_after = (self.ttl / RENEWALS_PER_TTL / 2).min(MAX_RETRY_INTERVAL);
+        let retry_after = (self.ttl / RENEWALS_PER_TTL / 2).min(MAX_RETRY_INTERVAL_US);
         self.requested_at == 0 || now >= self.requested_at + retry_after
     }
 
@@ -224,26 +227,26 @@
     }
 }
 
-/// A lease was acquired or lost by this gateway.
+/// A change in the leases that this gateway holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaseChange {
     /// The lease is held from now on.
     Acquired {
         /// The role.
         role: &'static str,
-        /// The token to act under.
+        /// The fencing token of the lease.
         token: FencingToken,
     },
     /// The lease is no longer held.
     Lost {
         /// The role.
         role: &'static str,
-        /// The token under which it was held.
+        /// The fencing token of the lost lease.
         token: FencingToken,
     },
 }
 
-/// The holder's side: the leases of this gateway.
+/// The holder's state: the leases that are granted to this gateway.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct HeldLeases {
     leases: BTreeMap<&'static str, HeldLease>,
@@ -251,12 +254,12 @@
 }
 
 impl HeldLeases {
-    /// Brings the leases in line with what the document grants to this incarnation, and ends those that expired.
+    /// Updates the leases to the grants that the document has for this incarnation, and ends expired leases.
     pub fn update(&mut self, document: &Document, me: &Candidate, now: u64) -> Vec<LeaseChange> {
         let mut changes = Vec::new();
         for role in ROLES {
-            let mine = document.grant(role).filter(|current| me.holds(&current.grant));
-            let granted = mine.as_ref().map(|current| current.token);
+            let own_grant = document.grant(role).filter(|current| me.holds(&current.grant));
+            let granted = own_grant.as_ref().map(|current| current.token);
             let before = self.leases.get(role).copied();
             if let Some(ended) = before.filter(|lease| granted != Some(lease.token)) {
                 self.leases.remove(role);
@@ -264,7 +267,9 @@
                     changes.push(LeaseChange::Lost { role, token: ended.token });
                 }
             }
-            if let Some(new) = mine.filter(|current| before.map(|lease| lease.token) != Some(current.token)) {
+            if let Some(new) =
+                own_grant.filter(|current| before.map(|lease| lease.token) != Some(current.token))
+            {
                 self.leases.insert(role, HeldLease::granted(&new));
             }
         }
@@ -272,7 +277,8 @@
         changes
     }
 
-    /// Leases that ran out before their renewal: reported once, and acquired again if the renewal succeeds after all.
+    /// Ends leases that expired before their renewal. Each is reported as lost once, and as acquired again if a late
+    /// renewal still succeeds.
     fn expire(&mut self, now: u64) -> Vec<LeaseChange> {
         let leases = self.leases.iter_mut();
         let expired = leases.filter(|(_, lease)| lease.held_until > 0 && lease.held_until <= now);
@@ -284,7 +290,7 @@
             .collect()
     }
 
-    /// The renewals to request now.
+    /// Returns the renewals to request now.
     pub fn renewals_due(&mut self, now: u64) -> Vec<(&'static str, FencingToken)> {
         if self.leaving {
             return Vec::new();
@@ -298,7 +304,7 @@
         .collect()
     }
 
-    /// A renewal that was requested at `requested_at` succeeded.
+    /// Handles the success of a renewal that was requested at `requested_at`.
     pub fn renewed(
         &mut self,
         role: &str,
@@ -317,13 +323,13 @@
         (acquired && lease.held_until > now).then_some(LeaseChange::Acquired { role, token })
     }
 
-    /// The token under which this gateway may act in a role now: to be looked up at each side effect.
+    /// Returns the fencing token if this gateway holds the lease of a role now. Call this before each side effect.
     pub fn token(&self, role: &str, now: u64) -> Option<FencingToken> {
         self.leases.get(role).filter(|lease| now < lease.held_until).map(|lease| lease.token)
     }
 
-    /// Releases all leases: the proposals to make now. Called repeatedly, it also releases what is granted after the
-    /// first call, and repeats what seems lost. Nothing is held or renewed from the first call on.
+    /// Releases all leases, and returns the proposals to make now. From the first call on no lease is held or renewed.
+    /// Further calls release leases that were granted later, and repeat proposals that seem to be lost.
     pub fn release(&mut self, me: &Candidate, now: u64, mut next_id: impl FnMut() -> u64) -> Vec<Proposal> {
         if !std::mem::replace(&mut self.leaving, true) {
             for lease in self.leases.values_mut() {
@@ -349,16 +355,16 @@
     }
 }
 
-/// The guard of a resource that lease holders act on.
+/// Rejects late actions on a resource that lease holders act on, by their fencing tokens.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct FencingGuard {
-    highest: BTreeMap<String, FencingToken>,
+    highest_tokens: BTreeMap<String, FencingToken>,
 }
 
 impl FencingGuard {
-    /// Whether an action is allowed: not under a token lower than one seen before.
+    /// Reports whether an action under this token is allowed: not if a higher token was seen before for the role.
     pub fn admits(&mut self, role: &str, token: FencingToken) -> bool {
-        let highest = self.highest.entry(role.to_string()).or_default();
+        let highest = self.highest_tokens.entry(role.to_string()).or_default();
         let admitted = token >= *highest;
         *highest = (*highest).max(token);
         admitted
--- a/crates/fleet/src/replication/log.rs
+++ b/crates/fleet/src/replication/log.rs
@@ -1,4 +1,5 @@
-//! The voters' log as the Raft library reads it, with the replica that its committed entries were applied to.
+//! The in-memory log of a voter, as the Raft library's storage, with the replica to which its committed entries are
+//! applied.
 
 use super::document::{Document, LogPosition};
 use super::replica::Replica;
@@ -9,40 +10,41 @@
 use std::collections::VecDeque;
 use thiserror::Error;
 
-/// How many applied entries compaction leaves in the log, for voters that lag. The log is compacted when there are
-/// twice as many.
+/// The number of applied entries that compaction leaves in the log, for voters that lag. The log is compacted when it
+/// holds twice as many applied entries.
 pub const RETAINED_ENTRIES: u64 = 1_000;
 
-/// Raft's persistent state of a voter beside its log.
+/// The persistent Raft state of a voter besides its log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HardState {
     /// The current term.
     pub term: u64,
-    /// The voter that got this one's vote in that term; 0: none.
+    /// The id of the voter that this voter voted for in that term; 0: none.
     pub vote: u64,
     /// The highest log index known to be committed.
     pub commit: u64,
 }
 
-/// What must become durable, in this order, before the messages that depend on it are sent.
+/// A write to the store. Its fields are applied in this order, and must be durable before the messages that depend on
+/// them are sent.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LogWrite {
     /// A snapshot that replaces all older entries.
     pub snapshot: Option<Snapshot>,
-    /// The position before the oldest entry that is still needed; older ones may be removed.
+    /// The position just before the oldest entry that is still needed. Entries up to this position may be removed.
     pub base: Option<LogPosition>,
-    /// Entries that replace those from the first one's index on.
+    /// Entries that replace all stored entries from the index of the first one on.
     pub records: Vec<LogRecord>,
-    /// The new hard state.
+    /// The new hard state; `None`: unchanged.
     pub hard_state: Option<HardState>,
 }
 
-/// The durable state from which a voter starts.
+/// The durable state that a voter starts from.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DurableState {
     /// The hard state.
     pub hard_state: HardState,
-    /// The position before the oldest entry.
+    /// The position just before the oldest entry.
     pub base: LogPosition,
     /// The newest snapshot.
     pub snapshot: Snapshot,
@@ -51,7 +53,7 @@
 }
 
 impl DurableState {
-    /// What each of the first voters starts a new document with.
+    /// Creates the state that each of the first voters of a new document starts from.
     pub fn bootstrap(document: &Document, mut voters: Vec<u64>) -> Result<DurableState, postcard::Error> {
         voters.sort_unstable();
         let base = LogPosition { term: 1, index: 1 };
@@ -63,7 +65,7 @@
         })
     }
 
-    /// What a voter starts with that is added to a document.
+    /// Creates the state of a voter that is added to an existing document.
     pub fn empty() -> DurableState {
         let snapshot =
             Snapshot { position: LogPosition::default(), voters: Vec::new(), document: Vec::new() };
@@ -75,7 +77,7 @@
         }
     }
 
-    /// Applies a write as a store does.
+    /// Applies a write the way a store does.
     pub fn apply(&mut self, write: &LogWrite) {
         if let Some(snapshot) = &write.snapshot {
             if write.base.is_none() {
@@ -98,25 +100,25 @@
     }
 }
 
-/// Why a log can't be used.
+/// Why a log or a snapshot can't be used.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum LogError {
     /// The snapshot's document can't be decoded.
-    #[error("the state: {0}")]
+    #[error("the document in the snapshot cannot be decoded: {0}")]
     Snapshot(postcard::Error),
-    /// Committed entries are missing, at the end or in between.
-    #[error("entries are missing: {first} to {last} are there, {committed} were agreed")]
+    /// Committed entries are missing at the end, or there is a gap in the log.
+    #[error("log entries are missing: the log has {first} to {last}, and {committed} was committed")]
     MissingEntries {
-        /// The first index that the log has.
+        /// The index of the first entry of the log.
         first: u64,
-        /// The last index that the log has.
+        /// The index of the last entry of the log.
         last: u64,
         /// The highest index known to be committed.
         committed: u64,
     },
 }
 
-/// The log in memory.
+/// The in-memory log of a voter.
 pub struct RaftLog {
     pub(super) hard_state: eraftpb::HardState,
     pub(super) voters: eraftpb::ConfState,
@@ -127,7 +129,7 @@
 }
 
 impl RaftLog {
-    /// Restores the log from what was durable.
+    /// Restores the log from the durable state.
     pub fn restore(durable: &DurableState) -> Result<RaftLog, LogError> {
         let DurableState { hard_state, base, snapshot, records } = durable;
         let document = match snapshot.document.is_empty() {
@@ -137,7 +139,7 @@
         let mut log = RaftLog {
             hard_state: eraftpb::HardState::default(),
             voters: eraftpb::ConfState::default(),
-            entries: records.iter().map(LogRecord::to_engine).collect(),
+            entries: records.iter().map(LogRecord::to_raft).collect(),
             base: *base,
             replica: Replica::from_document(document),
             applied: snapshot.position,
@@ -160,20 +162,20 @@
         Ok(())
     }
 
-    /// The index of the last entry.
+    /// Returns the index of the last entry.
     pub fn last_entry_index(&self) -> u64 {
         self.base.index + self.entries.len() as u64
     }
 
     pub(super) fn append(&mut self, entries: &[eraftpb::Entry]) {
         if let Some(first) = entries.first() {
-            let keep = first.index.saturating_sub(self.base.index + 1) as usize;
-            self.entries.truncate(keep);
+            let retained = first.index.saturating_sub(self.base.index + 1) as usize;
+            self.entries.truncate(retained);
             self.entries.extend(entries.iter().cloned());
         }
     }
 
-    /// Replaces everything by a snapshot from the leader.
+    /// Replaces the log and the replica with a snapshot from the leader.
     pub(super) fn install_snapshot(&mut self, snapshot: &Snapshot) -> Result<(), LogError> {
         let document = postcard::from_bytes(&snapshot.document).map_err(LogError::Snapshot)?;
         self.replica = Replica::from_document(document);
@@ -185,13 +187,14 @@
         Ok(())
     }
 
-    /// A snapshot of what is applied now.
+    /// Takes a snapshot of the applied state.
     fn take_snapshot(&self) -> Result<Snapshot, postcard::Error> {
         let document = postcard::to_allocvec(self.replica.document())?;
         Ok(Snapshot { position: self.applied, voters: self.voters.voters.clone(), document })
     }
 
-    /// Compacts the log once it has grown long, and returns what must be made durable for it.
+    /// Compacts the log if it holds at least twice [`RETAINED_ENTRIES`] applied entries, and returns the write that
+    /// makes the compaction durable.
     pub(super) fn compact(&mut self) -> Option<LogWrite> {
         if self.applied.index < self.base.index + 2 * RETAINED_ENTRIES {
             return None;
@@ -204,7 +207,7 @@
         Some(LogWrite { snapshot: Some(snapshot), base: Some(base), ..LogWrite::default() })
     }
 
-    /// Where the entry of an index after `base` is in memory.
+    /// Returns the offset in `entries` of an index after `base`.
     fn offset(&self, index: u64) -> usize {
         (index - self.base.index - 1) as usize
     }
@@ -256,7 +259,7 @@
     fn snapshot(&self, request_index: u64, _: u64) -> raft::Result<eraftpb::Snapshot> {
         let snapshot = self.take_snapshot().ok().filter(|snapshot| snapshot.position.index >= request_index);
         snapshot
-            .map(|snapshot| snapshot.to_engine())
+            .map(|snapshot| snapshot.to_raft())
             .ok_or_else(|| StorageError::SnapshotTemporarilyUnavailable.into())
     }
 }
--- a/crates/fleet/src/replication/replica.rs
+++ b/crates/fleet/src/replication/replica.rs
@@ -1,54 +1,54 @@
-//! A gateway's copy of the fleet document with its latest entries: voters apply committed proposals to it, followers
-//! catch up from any peer that is ahead.
+//! A gateway's replica of the fleet document, with its latest entries. Voters apply committed proposals to it,
+//! followers catch up from any peer that is ahead.
 
 use super::document::{Document, Entry, LogPosition, Verdict};
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 use thiserror::Error;
 
-/// The most entries that are retained for followers.
+/// The maximum number of entries that are retained for followers.
 const MAX_RETAINED_ENTRIES: usize = 10_000;
-/// The most bytes of entries that are retained for followers.
+/// The maximum size of the entries that are retained for followers.
 const MAX_RETAINED_BYTES: usize = 4 << 20;
-/// The size of one answer to a follower: entries are added until their bytes reach this.
+/// The size of one response to a follower: entries are added until their total size is at least this.
 const CATCH_UP_BYTES: usize = 256 << 10;
 
-/// The version of the document that a gateway acts on: enough to see who lags and who diverges.
+/// The version of the document that a gateway acts on. Comparing versions shows which gateways lag or diverge.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct DocumentVersion {
-    /// The id of the document; 0: none.
+    /// The id of the document; 0: the gateway has no document.
     #[serde(rename = "plan")]
     pub document: u64,
     /// The index of its last entry.
     pub index: u64,
-    /// The digest there.
+    /// The digest at that index.
     pub digest: u64,
 }
 
-/// What brings a follower up to date, or closer to it.
+/// A response that brings a follower up to date, or closer to it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum CatchUp {
     /// The entries that follow the follower's version.
     Entries(Vec<Entry>),
-    /// The complete document, where those entries are no longer retained.
+    /// The complete document, sent when those entries are no longer retained.
     Snapshot(Box<Document>),
 }
 
 /// Why a catch-up could not be applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum CatchUpError {
-    /// It belongs to another document.
-    #[error("it belongs to document {0:016x}")]
+    /// The catch-up belongs to another document, with this id.
+    #[error("the catch-up belongs to another document, {0:016x}")]
     OtherDocument(u64),
-    /// The same entries led to another digest at the peer: at this index.
-    #[error("it diverges at index {0}")]
+    /// Applying an entry did not give the same result as at the peer. Holds the index of the entry.
+    #[error("the peer's history diverges from the local one at index {0}")]
     Diverged(u64),
-    /// It is older than this copy, or does not follow it.
-    #[error("it does not follow the local version")]
+    /// The catch-up is older than the local version, or does not follow it.
+    #[error("the catch-up is older than the local version or does not follow it")]
     Stale,
 }
 
-/// A copy of the document.
+/// A replica of the document, with its latest entries.
 #[derive(Clone, Debug, Default)]
 pub struct Replica {
     document: Document,
@@ -57,23 +57,23 @@
 }
 
 impl Replica {
-    /// A copy that starts with this document and no entries.
+    /// Creates a replica of this document without entries.
     pub fn from_document(document: Document) -> Replica {
         Replica { document, ..Replica::default() }
     }
 
-    /// The document.
+    /// Returns the document.
     pub fn document(&self) -> &Document {
         &self.document
     }
 
-    /// The document's version.
+    /// Returns the version of the document.
     pub fn version(&self) -> DocumentVersion {
         let Document { id, index, digest, .. } = self.document;
         DocumentVersion { document: id, index, digest }
     }
 
-    /// The retained entries, oldest first.
+    /// Returns the retained entries, oldest first.
     pub fn entries(&self) -> impl DoubleEndedIterator<Item = &Entry> {
         self.entries.iter()
     }
@@ -96,7 +96,7 @@
         }
     }
 
-    /// What brings a follower at `index` further; `None`: it is up to date.
+    /// Returns a catch-up for a follower at `index`; `None` if the follower is up to date.
     pub fn catch_up_after(&self, index: u64) -> Option<CatchUp> {
         if index >= self.document.index {
             return None;
@@ -117,7 +117,7 @@
         Some(CatchUp::Entries(entries))
     }
 
-    /// The digest at an index, as far as its entry is retained.
+    /// Returns the digest at an index; `None` unless it is the current index or its entry is retained.
     pub fn digest_at(&self, index: u64) -> Option<u64> {
         if index == self.document.index {
             return Some(self.document.digest);
@@ -127,7 +127,7 @@
         self.entries.get(offset).map(|entry| entry.digest)
     }
 
-    /// Applies a catch-up of this document completely or not at all, and returns the entries that were new.
+    /// Applies a catch-up of this document either completely or not at all, and returns the new entries.
     pub fn apply_catch_up(&mut self, document: u64, catch_up: CatchUp) -> Result<Vec<Entry>, CatchUpError> {
         if self.document.id != 0 && document != self.document.id {
             return Err(CatchUpError::OtherDocument(document));
--- a/crates/fleet/src/replication/sim.rs
+++ b/crates/fleet/src/replication/sim.rs
@@ -1,4 +1,4 @@
-//! A virtual network of voters with stores of their own, for tests and measurements: the same seed gives the same
+//! A simulated network of voters, each with its own store, for tests and measurements. The same seed gives the same
 //! history. Times are in microseconds.
 
 use super::document::{Document, Entry, Proposal, Verdict, SCHEMA_VERSION, VOTERS_SECTION};
@@ -8,21 +8,21 @@
 use std::collections::{BTreeMap, HashSet};
 use std::ops::RangeInclusive;
 
-/// The length of a voter's tick.
-pub const TICK: u64 = 20_000;
-/// The document that the simulated voters vote on.
-const DOCUMENT: u64 = 7;
+/// The duration of a voter's tick.
+pub const TICK_US: u64 = 20_000;
+/// The id of the document that the simulated voters replicate.
+const DOCUMENT_ID: u64 = 7;
 
-/// What the network and the stores do.
+/// The conditions of the network and the stores.
 #[derive(Clone, Debug)]
 pub struct Conditions {
     /// The share of messages that are lost.
     pub loss: f64,
-    /// The share of messages that arrive twice.
+    /// The share of messages that are delivered twice.
     pub duplication: f64,
-    /// How long messages travel.
+    /// The delay of messages.
     pub delay: RangeInclusive<u64>,
-    /// How long writes take.
+    /// The duration of writes.
     pub write_time: RangeInclusive<u64>,
 }
 
@@ -50,28 +50,28 @@
     }
 }
 
-/// One voter with its store.
+/// A simulated voter with its store.
 pub struct SimVoter {
-    /// The voter; `None`: it is not running.
+    /// The voter; `None` while it is not running.
     pub voter: Option<Voter>,
-    /// What is durable.
+    /// The durable state.
     pub disk: DurableState,
-    /// How long its writes take, where that differs from the network's conditions.
+    /// The duration of this voter's writes, where it differs from the network's conditions.
     pub write_time: Option<RangeInclusive<u64>>,
     pending_write: Option<(u64, LogWrite)>,
     incarnation: u32,
     stalled_until: u64,
-    /// What happened to it while it was stalled.
+    /// The events that arrived while the voter was stalled.
     backlog: Vec<Event>,
-    /// What it reported as decided in all its incarnations: time, proposal and verdict.
+    /// The decisions that the voter reported in all its incarnations: time, proposal id and verdict.
     pub decided: Vec<(u64, u64, Verdict)>,
-    /// The entries that it applied in its present incarnation.
+    /// The entries that the voter applied in its current incarnation.
     pub entries: Vec<Entry>,
-    /// The confirmations of leadership that it got: time and number.
+    /// The confirmations of leadership that the voter reported: time and number.
     pub confirmed: Vec<(u64, u64)>,
-    /// Why it halted.
+    /// Why the voter halted or could not start.
     pub halted: Option<String>,
-    /// How fast its clock runs.
+    /// The speed of the voter's clock; 1 is exact.
     pub speed: f64,
 }
 
@@ -109,86 +109,88 @@
     }
 }
 
-/// The network.
+/// A simulated network of voters.
 pub struct Network {
-    /// Its voters; the id of each is its place plus one.
+    /// The voters; the id of each is its index plus one.
     pub voters: Vec<SimVoter>,
-    /// What the network does.
+    /// The conditions of the network and the stores.
     pub conditions: Conditions,
-    /// Links that are cut: sender and receiver.
+    /// The links that are cut: sender and receiver.
     pub cut: HashSet<(usize, usize)>,
     /// The current time.
     pub now: u64,
-    /// The source of all random draws.
+    /// The generator of all random draws.
     pub rng: fastrand::Rng,
-    /// Makes events of one time happen in the order in which they were scheduled.
-    next_event: u64,
+    /// The number of the last scheduled event. Events of the same time are handled in the order of these numbers.
+    last_event_number: u64,
     scheduled: BTreeMap<(u64, u64), Event>,
-    /// How many messages were sent.
+    /// The number of messages sent.
     pub sent: u64,
 }
 
 impl Network {
-    /// A network of first voters and of spare ones that may be added, all running.
+    /// Creates a network of first voters and of spare ones that can be added as voters. All are started.
     pub fn new(first_voters: usize, spare_voters: usize, seed: u64) -> Network {
-        let items = (0..first_voters).map(|place| (format!("g{place}"), (place + 1).to_string())).collect();
-        let document = Document::bootstrap(DOCUMENT, &items);
-        let founded = DurableState::bootstrap(&document, (1..=first_voters as u64).collect());
-        let founded = founded.unwrap_or_else(|_| DurableState::empty());
-        let all = first_voters + spare_voters;
-        let disk = |place: usize| if place < first_voters { founded.clone() } else { DurableState::empty() };
+        let voter_items =
+            (0..first_voters).map(|index| (format!("g{index}"), (index + 1).to_string())).collect();
+        let document = Document::bootstrap(DOCUMENT_ID, &voter_items);
+        let initial_state = DurableState::bootstrap(&document, (1..=first_voters as u64).collect());
+        let initial_state = initial_state.unwrap_or_else(|_| DurableState::empty());
+        let voter_count = first_voters + spare_voters;
+        let initial_disk =
+            |index: usize| if index < first_voters { initial_state.clone() } else { DurableState::empty() };
         let mut network = Network {
-            voters: (0..all).map(|place| SimVoter::new(disk(place))).collect(),
+            voters: (0..voter_count).map(|index| SimVoter::new(initial_disk(index))).collect(),
             conditions: Conditions::default(),
             cut: HashSet::new(),
             now: 0,
             rng: fastrand::Rng::with_seed(seed),
-            next_event: 0,
+            last_event_number: 0,
             scheduled: BTreeMap::new(),
             sent: 0,
         };
-        for place in 0..all {
-            network.start(place);
+        for index in 0..voter_count {
+            network.start(index);
         }
         network
     }
 
-    /// Starts a voter from what is durable; false where it can't start from that.
-    pub fn start(&mut self, place: usize) -> bool {
+    /// Starts a voter from its durable state; false if it can't start from that state.
+    pub fn start(&mut self, index: usize) -> bool {
         let seed = self.rng.u64(..);
-        let sim = &mut self.voters[place];
-        sim.incarnation += 1;
-        sim.stalled_until = 0;
-        sim.pending_write = None;
-        sim.backlog.clear();
-        sim.entries.clear();
-        let voter = Voter::new(place as u64 + 1, DOCUMENT, &sim.disk, seed);
-        sim.halted = voter.as_ref().err().map(ToString::to_string);
-        sim.voter = voter.ok();
-        let incarnation = sim.incarnation;
-        let first_tick = self.rng.u64(..TICK);
-        self.schedule(first_tick, Event::Tick { voter: place, incarnation });
-        self.handle_outputs(place);
-        self.voters[place].voter.is_some()
+        let sim_voter = &mut self.voters[index];
+        sim_voter.incarnation += 1;
+        sim_voter.stalled_until = 0;
+        sim_voter.pending_write = None;
+        sim_voter.backlog.clear();
+        sim_voter.entries.clear();
+        let voter = Voter::new(index as u64 + 1, DOCUMENT_ID, &sim_voter.disk, seed);
+        sim_voter.halted = voter.as_ref().err().map(ToString::to_string);
+        sim_voter.voter = voter.ok();
+        let incarnation = sim_voter.incarnation;
+        let first_tick = self.rng.u64(..TICK_US);
+        self.schedule(first_tick, Event::Tick { voter: index, incarnation });
+        self.handle_outputs(index);
+        self.voters[index].voter.is_some()
     }
 
-    /// Ends a voter; a write that is under way is lost or not, at random.
-    pub fn crash(&mut self, place: usize) {
+    /// Crashes a voter. A pending write is either lost or made durable, at random.
+    pub fn crash(&mut self, index: usize) {
         let survives = self.rng.bool();
-        let sim = &mut self.voters[place];
-        sim.voter = None;
-        if let Some((_, write)) = sim.pending_write.take().filter(|_| survives) {
-            sim.disk.apply(&write);
+        let sim_voter = &mut self.voters[index];
+        sim_voter.voter = None;
+        if let Some((_, write)) = sim_voter.pending_write.take().filter(|_| survives) {
+            sim_voter.disk.apply(&write);
         }
     }
 
-    /// Stalls a voter for some time.
-    pub fn stall(&mut self, place: usize, span: u64) {
-        self.voters[place].stalled_until = self.now + span;
-        self.schedule(span, Event::StallEnds { voter: place });
+    /// Stalls a voter for a duration.
+    pub fn stall(&mut self, index: usize, duration: u64) {
+        self.voters[index].stalled_until = self.now + duration;
+        self.schedule(duration, Event::StallEnds { voter: index });
     }
 
-    /// Cuts all links between these voters and the others, both ways.
+    /// Cuts all links between these voters and the others, in both directions.
     pub fn partition(&mut self, side: &[usize]) {
         for from in 0..self.voters.len() {
             for to in 0..self.voters.len() {
@@ -199,16 +201,16 @@
         }
     }
 
-    /// The voter that takes itself for the leader, in the latest term.
+    /// Returns the voter that acts as the leader in the latest term.
     pub fn leader(&self) -> Option<usize> {
-        let leaders = (0..self.voters.len()).filter(|place| self.voters[*place].is_leader());
-        leaders.max_by_key(|place| self.voters[*place].voter.as_ref().map(Voter::log_position))
+        let leaders = (0..self.voters.len()).filter(|index| self.voters[*index].is_leader());
+        leaders.max_by_key(|index| self.voters[*index].voter.as_ref().map(Voter::log_position))
     }
 
-    /// Proposes at a voter that a register holds this value.
+    /// Proposes to a voter to set the register to this value.
     pub fn propose(
         &mut self,
-        place: usize,
+        index: usize,
         id: u64,
         value: u64,
         expected_item_index: Option<u64>,
@@ -220,11 +222,11 @@
             value: Some(value.to_string()),
             ..sim_proposal(id)
         };
-        self.with_voter(place, |voter| voter.propose(&proposal))
+        self.with_voter(index, |voter| voter.propose(&proposal))
     }
 
-    /// Proposes at a voter that another be added or removed.
-    pub fn change_voters(&mut self, place: usize, id: u64, change: VoterChange) -> Result<(), ProposeError> {
+    /// Proposes to a voter to add or remove a voter.
+    pub fn change_voters(&mut self, index: usize, id: u64, change: VoterChange) -> Result<(), ProposeError> {
         let (voter, value) = match change {
             VoterChange::Add(voter) => (voter, Some(voter.to_string())),
             VoterChange::Remove(voter) => (voter, None),
@@ -235,109 +237,111 @@
             value,
             ..sim_proposal(id)
         };
-        self.with_voter(place, |voter| voter.change_voters(change, &proposal))
+        self.with_voter(index, |voter| voter.change_voters(change, &proposal))
     }
 
-    /// Runs an action on a voter that is running.
+    /// Runs an action on a voter, and fails if the voter is not running.
     pub fn with_voter<T>(
         &mut self,
-        place: usize,
+        index: usize,
         action: impl FnOnce(&mut Voter) -> Result<T, ProposeError>,
     ) -> Result<T, ProposeError> {
-        let Some(voter) = &mut self.voters[place].voter else { return Err(ProposeError::NotLeader(None)) };
+        let Some(voter) = &mut self.voters[index].voter else { return Err(ProposeError::NotLeader(None)) };
         let result = action(voter);
-        self.handle_outputs(place);
+        self.handle_outputs(index);
         result
     }
 
-    /// Runs for some time.
-    pub fn run(&mut self, span: u64) {
+    /// Runs the simulation for a duration.
+    pub fn run(&mut self, duration: u64) {
         // The condition never holds, so there is no time to report.
-        let _ = self.run_until(span, |_| false);
+        let _ = self.run_until(duration, |_| false);
     }
 
-    /// Runs until a condition holds, and returns the time that took; `None` if it does not within `span`.
-    pub fn run_until(&mut self, span: u64, condition: impl Fn(&Network) -> bool) -> Option<u64> {
+    /// Runs the simulation until a condition holds, and returns the elapsed time; `None` if it does not hold within
+    /// `duration`.
+    pub fn run_until(&mut self, duration: u64, condition: impl Fn(&Network) -> bool) -> Option<u64> {
         let start = self.now;
-        let end = self.now + span;
+        let end = self.now + duration;
         loop {
             if condition(self) {
                 return Some(self.now - start);
             }
-            let next = self.scheduled.first_entry().filter(|entry| entry.key().0 <= end);
-            let Some(next) = next else {
+            let next_event = self.scheduled.first_entry().filter(|entry| entry.key().0 <= end);
+            let Some(next_event) = next_event else {
                 self.now = end;
                 return None;
             };
-            let ((at, _), event) = next.remove_entry();
+            let ((at, _), event) = next_event.remove_entry();
             self.now = at;
             self.handle(event);
         }
     }
 
     fn schedule(&mut self, after: u64, event: Event) {
-        self.next_event += 1;
-        self.scheduled.insert((self.now + after, self.next_event), event);
+        self.last_event_number += 1;
+        self.scheduled.insert((self.now + after, self.last_event_number), event);
     }
 
     fn handle(&mut self, event: Event) {
-        let place = event.voter();
-        let sim = &mut self.voters[place];
-        if self.now < sim.stalled_until {
-            return sim.backlog.push(event);
+        let index = event.voter();
+        let sim_voter = &mut self.voters[index];
+        if self.now < sim_voter.stalled_until {
+            return sim_voter.backlog.push(event);
         }
         match event {
-            Event::Tick { incarnation, .. } => self.handle_tick(place, incarnation),
+            Event::Tick { incarnation, .. } => self.handle_tick(index, incarnation),
             Event::MessageArrives { message, .. } => {
-                if let Some(voter) = &mut sim.voter {
+                if let Some(voter) = &mut sim_voter.voter {
                     voter.receive(&message);
                 }
             }
-            Event::WriteDone { incarnation, number, .. } => sim.finish_write(incarnation, number),
+            Event::WriteDone { incarnation, number, .. } => sim_voter.finish_write(incarnation, number),
             Event::StallEnds { .. } => {
-                let backlog = std::mem::take(&mut sim.backlog);
+                let backlog = std::mem::take(&mut sim_voter.backlog);
                 backlog.into_iter().for_each(|event| self.handle(event));
             }
         }
-        self.handle_outputs(place);
+        self.handle_outputs(index);
     }
 
-    fn handle_tick(&mut self, place: usize, incarnation: u32) {
-        let sim = &mut self.voters[place];
-        if incarnation != sim.incarnation {
+    fn handle_tick(&mut self, index: usize, incarnation: u32) {
+        let sim_voter = &mut self.voters[index];
+        if incarnation != sim_voter.incarnation {
             return;
         }
-        let Some(voter) = &mut sim.voter else { return };
+        let Some(voter) = &mut sim_voter.voter else { return };
         voter.tick();
-        let next = (TICK as f64 / sim.speed) as u64;
-        self.schedule(next, Event::Tick { voter: place, incarnation });
+        let until_next_tick = (TICK_US as f64 / sim_voter.speed) as u64;
+        self.schedule(until_next_tick, Event::Tick { voter: index, incarnation });
     }
 
-    fn handle_outputs(&mut self, place: usize) {
-        let Some(voter) = &mut self.voters[place].voter else { return };
+    fn handle_outputs(&mut self, index: usize) {
+        let Some(voter) = &mut self.voters[index].voter else { return };
         for output in voter.poll_outputs() {
-            self.handle_output(place, output);
+            self.handle_output(index, output);
         }
     }
 
-    fn handle_output(&mut self, place: usize, output: Output) {
+    fn handle_output(&mut self, index: usize, output: Output) {
         let now = self.now;
-        let sim = &mut self.voters[place];
+        let sim_voter = &mut self.voters[index];
         match output {
-            Output::Send(message) => self.send(place, message),
+            Output::Send(message) => self.send(index, message),
             Output::Write { number, write } => {
-                let write_time = sim.write_time.clone().unwrap_or_else(|| self.conditions.write_time.clone());
-                let incarnation = sim.incarnation;
-                sim.pending_write = Some((number, write));
+                let write_time =
+                    sim_voter.write_time.clone().unwrap_or_else(|| self.conditions.write_time.clone());
+                let incarnation = sim_voter.incarnation;
+                sim_voter.pending_write = Some((number, write));
                 let after = self.rng.u64(write_time);
-                self.schedule(after, Event::WriteDone { voter: place, incarnation, number });
+                self.schedule(after, Event::WriteDone { voter: index, incarnation, number });
             }
             Output::Decided { id, verdict, entry } => {
-                sim.decided.push((now, id, verdict));
-                sim.entries.extend(entry);
+                sim_voter.decided.push((now, id, verdict));
+                sim_voter.entries.extend(entry);
             }
-            Output::LeadershipConfirmed(number) => sim.confirmed.push((now, number)),
-            Output::Halted(reason) => sim.halted = Some(reason.to_string()),
+            Output::LeadershipConfirmed(number) => sim_voter.confirmed.push((now, number)),
+            Output::Halted(reason) => sim_voter.halted = Some(reason.to_string()),
             Output::SnapshotInstalled | Output::LeaderChanged { .. } => {}
         }
     }
@@ -349,8 +353,8 @@
         {
             return;
         }
-        let copies = 1 + usize::from(self.rng.f64() < self.conditions.duplication);
-        for _ in 0..copies {
+        let deliveries = 1 + usize::from(self.rng.f64() < self.conditions.duplication);
+        for _ in 0..deliveries {
             let after = self.rng.u64(self.conditions.delay.clone());
             self.schedule(after, Event::MessageArrives { voter: to, message: Box::new(message.clone()) });
         }
--- a/crates/fleet/src/replication/voter.rs
+++ b/crates/fleet/src/replication/voter.rs
@@ -1,5 +1,6 @@
-//! One voter: Raft (the crate `raft`, which does no I/O) over the log, with committed proposals applied to the
-//! document. Messages, ticks and the store's confirmations go in; messages, writes and decisions come out.
+//! A voter, which replicates the log by Raft and applies committed proposals to the document. Uses the crate `raft`,
+//! which does no I/O: the inputs are messages, ticks and the store's confirmations, the outputs are messages, writes
+//! and decisions.
 
 mod output;
 
@@ -16,19 +17,19 @@
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use thiserror::Error;
 
-/// A voter that hears no leader starts an election after this many ticks, or up to twice as many, drawn anew each
-/// time.
+/// The minimum number of ticks without a message from a leader after which a voter starts an election. The maximum is
+/// twice as many, and the actual number is drawn at random each time.
 pub const ELECTION_TICKS: usize = 10;
-/// A leader sends a heartbeat every so many ticks.
+/// The number of ticks between two heartbeats of a leader.
 const HEARTBEAT_TICKS: usize = 2;
-/// The Raft library draws its election timeout from a generator that no seed reaches. With a range this wide its own
-/// draw can be distinguished from ours, and is replaced.
-const ENGINE_ELECTION_RANGE: usize = 1 << 40;
-/// The most bytes of entries in one message.
+/// The upper bound of the election timeout that the Raft library draws. The library's random generator can't be seeded.
+/// With a range this wide its draw can be recognised, and is replaced by one of this voter's own generator.
+const LIBRARY_ELECTION_RANGE_TICKS: usize = 1 << 40;
+/// The maximum size of the entries in one message.
 const MAX_MESSAGE_BYTES: u64 = 256 << 10;
-/// The most messages with entries in flight to one voter.
+/// The maximum number of messages with entries in flight to one voter.
 const MAX_IN_FLIGHT_MESSAGES: usize = 32;
-/// The most bytes of proposals that wait to be committed; further ones are declined.
+/// The maximum size of the proposals that wait to be committed. Further proposals are rejected as busy.
 const MAX_UNCOMMITTED_BYTES: u64 = 1 << 20;
 
 /// Why a voter can't start.
@@ -38,32 +39,32 @@
     #[error(transparent)]
     Log(#[from] LogError),
     /// The Raft library reported an error.
-    #[error("{0}")]
+    #[error("the Raft library reported an error: {0}")]
     Raft(String),
 }
 
 /// Why a proposal could not be accepted for replication.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ProposeError {
-    /// This voter does not lead; the leader's id, as far as it knows.
-    #[error("this voter does not lead")]
+    /// This voter is not the leader. Holds the id of the leader, if it is known.
+    #[error("this voter is not the leader")]
     NotLeader(Option<u64>),
-    /// Too many proposals wait, or another change of voters is under way.
-    #[error("too many proposals wait, or another change of voters is under way")]
+    /// Too many proposals are pending, or another change of voters is in progress.
+    #[error("too many proposals are pending, or another change of voters is in progress")]
     Busy,
 }
 
-/// A change of voters; one at a time.
+/// A change of the set of voters. Only one change can be in progress at a time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VoterChange {
-    /// The voter of this id is added.
+    /// Adds the voter with this id.
     Add(u64),
-    /// The voter of this id is removed.
+    /// Removes the voter with this id.
     Remove(u64),
 }
 
 impl VoterChange {
-    fn to_engine(self) -> eraftpb::ConfChange {
+    fn to_raft(self) -> eraftpb::ConfChange {
         let (kind, id) = match self {
             VoterChange::Add(id) => (eraftpb::ConfChangeType::AddNode, id),
             VoterChange::Remove(id) => (eraftpb::ConfChangeType::RemoveNode, id),
@@ -75,38 +76,38 @@
     }
 }
 
-/// A write that is under way, with the messages that may be sent once it is durable.
+/// A write that is not durable yet, with the messages to send once it is.
 struct PendingWrite {
     number: u64,
     messages: Vec<eraftpb::Message>,
 }
 
-/// Who leads in which term.
+/// The leader of a term; `leader` 0: none is known.
 #[derive(Clone, Copy, Default, PartialEq, Eq)]
 struct Leadership {
     leader: u64,
     term: u64,
 }
 
-/// One voter.
+/// A member of the Raft group that replicates the fleet document.
 pub struct Voter {
-    /// `None` once it has halted.
+    /// The Raft library's node; `None` once this voter has halted.
     node: Option<RawNode<RaftLog>>,
     id: u64,
     document: u64,
     rng: fastrand::Rng,
     pending_write: Option<PendingWrite>,
-    /// The write of a compaction, made with the next write.
+    /// The write of a compaction, which is merged into the next write.
     compaction: Option<LogWrite>,
     leadership: Leadership,
     outputs: VecDeque<Output>,
 }
 
 impl Voter {
-    /// A voter of this id, from its durable state. The same seed and inputs give the same outputs.
+    /// Creates the voter with this id from its durable state. The same seed and inputs give the same outputs.
     pub fn new(id: u64, document: u64, durable: &DurableState, seed: u64) -> Result<Voter, StartError> {
         let log = RaftLog::restore(durable)?;
-        let config = engine_config(id, log.applied.index);
+        let config = raft_config(id, log.applied.index);
         let silent_logger = slog::Logger::root(slog::Discard, slog::o!());
         let node = RawNode::new(&config, log, &silent_logger);
         let node = node.map_err(|error| StartError::Raft(error.to_string()))?;
@@ -124,12 +125,12 @@
         Ok(voter)
     }
 
-    /// Its id.
+    /// Returns the id of this voter.
     pub fn id(&self) -> u64 {
         self.id
     }
 
-    /// Advances its clock by one tick.
+    /// Advances the clock of this voter by one tick.
     pub fn tick(&mut self) {
         self.with_node(|node| {
             node.tick();
@@ -137,25 +138,25 @@
         });
     }
 
-    /// Takes a message from another voter.
+    /// Handles a message from another voter.
     pub fn receive(&mut self, message: &RaftMessage) {
         if message.document != self.document || message.to != self.id {
             return;
         }
-        let Some(message) = message.to_engine() else { return };
+        let Some(message) = message.to_raft() else { return };
         if let Some(reason) = self.stale_store(&message) {
             return self.halt(reason);
         }
         self.with_node(|node| match node.step(message) {
-            // From a voter that was removed, or too late: the protocol tolerates both.
+            // The sender was removed, or the message is late. Raft tolerates both.
             Ok(()) | Err(raft::Error::StepPeerNotFound) | Err(raft::Error::ProposalDropped) => Ok(()),
             Err(raft::Error::StepLocalMsg) => Ok(()),
             Err(error) => Err(error.into()),
         });
     }
 
-    /// A leader's heartbeat names no higher commit index than the receiver has acknowledged. If the log ends before
-    /// it, the store was replaced by an older copy.
+    /// Detects a store that was replaced by an older copy. A leader's heartbeat never has a higher commit index than
+    /// the receiver has acknowledged, so a log that ends before that index has lost entries.
     fn stale_store(&self, message: &eraftpb::Message) -> Option<HaltReason> {
         let node = self.node.as_ref()?;
         let last = node.store().last_entry_index();
@@ -164,7 +165,7 @@
         is_stale.then_some(HaltReason::StaleStore { last, acknowledged: message.commit })
     }
 
-    /// The write of this number is durable.
+    /// Handles the store's confirmation that the write with this number is durable.
     pub fn persisted(&mut self, number: u64) {
         let Some(write) = self.pending_write.take_if(|write| write.number == number) else { return };
         self.send(write.messages);
@@ -175,7 +176,7 @@
         });
     }
 
-    /// A write can't be made durable: this voter must not go on.
+    /// Halts this voter because a write can't be made durable.
     pub fn store_failed(&mut self, problem: &str) {
         self.halt(HaltReason::StoreFailed(problem.to_string()));
     }
@@ -192,21 +193,22 @@
         accepted.then_some(()).ok_or(ProposeError::Busy)
     }
 
-    /// Proposes a change of voters; the proposal records it in the document.
+    /// Proposes a change of voters. The proposal records the change in the document.
     pub fn change_voters(&mut self, change: VoterChange, proposal: &Proposal) -> Result<(), ProposeError> {
         let text = serde_json::to_vec(proposal).unwrap_or_default();
         self.require_leadership()?;
         let mut accepted = false;
         self.with_node(|node| {
-            // The library would put an empty entry in the place of a second change.
+            // The library would replace a second change by an empty entry.
             let pending = node.raft.has_pending_conf();
-            accepted = !pending && node.propose_conf_change(text, change.to_engine()).is_ok();
+            accepted = !pending && node.propose_conf_change(text, change.to_raft()).is_ok();
             Ok(())
         });
         accepted.then_some(()).ok_or(ProposeError::Busy)
     }
 
-    /// Asks a majority whether this voter leads; [`Output::LeadershipConfirmed`] with this number follows if so.
+    /// Asks a majority to confirm that this voter leads. If it does, [`Output::LeadershipConfirmed`] with this number
+    /// follows.
     pub fn confirm_leadership(&mut self, number: u64) {
         self.with_node(|node| {
             if node.raft.state == StateRole::Leader {
@@ -216,17 +218,17 @@
         });
     }
 
-    /// A message to this voter could not be delivered.
+    /// Handles a failed delivery of a message to the voter with this id.
     pub fn report_unreachable(&mut self, id: u64) {
         self.with_node(|node| {
             node.report_unreachable(id);
-            // Otherwise a lost snapshot would be waited for without end.
+            // Without this the library would wait forever for a lost snapshot.
             node.report_snapshot(id, raft::SnapshotStatus::Failure);
             Ok(())
         });
     }
 
-    /// Hands leadership over to another voter.
+    /// Transfers leadership to another voter.
     pub fn transfer_leadership(&mut self, id: u64) {
         self.with_node(|node| {
             node.transfer_leader(id);
@@ -234,29 +236,29 @@
         });
     }
 
-    /// Takes the outputs that have gathered since the last call.
+    /// Takes the outputs since the last call.
     pub fn poll_outputs(&mut self) -> Vec<Output> {
         self.outputs.drain(..).collect()
     }
 
-    /// The document as committed, as far as this voter knows; `None` once it has halted.
+    /// Returns the document up to the last entry that this voter knows to be committed; `None` once it has halted.
     pub fn replica(&self) -> Option<&Replica> {
         self.node.as_ref().map(|node| &node.store().replica)
     }
 
-    /// Whether it leads and has applied all entries of earlier terms.
+    /// Reports whether this voter is the leader and has applied all entries of earlier terms.
     pub fn is_leader(&self) -> bool {
         self.node.as_ref().is_some_and(|node| {
             node.raft.state == StateRole::Leader && node.store().applied.term == node.raft.term
         })
     }
 
-    /// The leader's id, as far as it knows.
+    /// Returns the id of the leader, if this voter knows it.
     pub fn leader(&self) -> Option<u64> {
         self.node.as_ref().map(|node| node.raft.leader_id).filter(|id| *id != 0)
     }
 
-    /// Its term, and the index of its log's last entry.
+    /// Returns the current term and the index of the last entry of the log.
     pub fn log_position(&self) -> LogPosition {
         let position = |node: &RawNode<RaftLog>| LogPosition {
             term: node.raft.term,
@@ -265,14 +267,14 @@
         self.node.as_ref().map(position).unwrap_or_default()
     }
 
-    /// The ids of the other voters.
+    /// Returns the ids of the other voters.
     pub fn other_voters(&self) -> Vec<u64> {
         let Some(node) = &self.node else { return Vec::new() };
         let voters = node.store().voters.voters.iter().copied();
         voters.filter(|id| *id != self.id).collect()
     }
 
-    /// Whether it takes part.
+    /// Reports whether this voter has not halted.
     pub fn is_running(&self) -> bool {
         self.node.is_some()
     }
@@ -292,8 +294,8 @@
         }
     }
 
-    /// Runs an action on the library's node and handles what it made ready. The library panics on input that
-    /// contradicts its log; that halts this voter and not the gateway.
+    /// Runs an action on the library's node and handles the resulting `Ready`s. The library panics on input that
+    /// contradicts its log. The panic is caught, so that it halts this voter but not the gateway.
     fn with_node(&mut self, action: impl FnOnce(&mut RawNode<RaftLog>) -> Result<(), HaltReason>) {
         let Some(mut node) = self.node.take() else { return };
         let result = catch_unwind(AssertUnwindSafe(|| {
@@ -343,8 +345,8 @@
         Ok(())
     }
 
-    /// Takes what is to be written into the log in memory, and says whether it must be durable before anything that
-    /// depends on it is sent.
+    /// Applies a `Ready` to the in-memory log. Returns the write for the store, and whether it must be durable before
+    /// messages that depend on it are sent.
     fn collect_write(
         &mut self,
         node: &mut RawNode<RaftLog>,
@@ -353,9 +355,9 @@
         let mut write = self.compaction.take().unwrap_or_default();
         let must_sync = ready.must_sync() || write != LogWrite::default();
         if !ready.snapshot().get_metadata().get_conf_state().voters.is_empty() {
-            let snapshot = Snapshot::from_engine(ready.snapshot());
+            let snapshot = Snapshot::from_raft(ready.snapshot());
             node.mut_store().install_snapshot(&snapshot)?;
-            // It replaces the snapshot of a compaction.
+            // The snapshot from the leader replaces that of a pending compaction.
             write = LogWrite { snapshot: Some(snapshot), ..LogWrite::default() };
             self.outputs.push_back(Output::SnapshotInstalled);
         }
@@ -363,7 +365,7 @@
             node.mut_store().hard_state = hard_state.clone();
         }
         node.mut_store().append(ready.entries());
-        write.records = ready.entries().iter().map(LogRecord::from_engine).collect();
+        write.records = ready.entries().iter().map(LogRecord::from_raft).collect();
         let hard_state = &node.store().hard_state;
         write.hard_state =
             Some(HardState { term: hard_state.term, vote: hard_state.vote, commit: hard_state.commit });
@@ -371,10 +373,10 @@
     }
 
     fn report_leader(&mut self, node: &RawNode<RaftLog>) {
-        let now = Leadership { leader: node.raft.leader_id, term: node.raft.term };
-        if now != self.leadership && (now.leader != 0 || self.leadership.leader != 0) {
-            self.leadership = now;
-            self.outputs.push_back(Output::LeaderChanged { leader: now.leader, term: now.term });
+        let current = Leadership { leader: node.raft.leader_id, term: node.raft.term };
+        if current != self.leadership && (current.leader != 0 || self.leadership.leader != 0) {
+            self.leadership = current;
+            self.outputs.push_back(Output::LeaderChanged { leader: current.leader, term: current.term });
         }
     }
 
@@ -403,7 +405,7 @@
         let text = if changes_voters { &committed.context } else { &committed.data };
         node.mut_store().applied = position;
         let Ok(text) = std::str::from_utf8(text) else { return Ok(()) };
-        // The first entry of a new leader is empty.
+        // A new leader starts its term with an empty entry.
         if text.is_empty() {
             return Ok(());
         }
@@ -418,7 +420,7 @@
         Ok(())
     }
 
-    /// Reports to the library what was applied, once it is durable: a snapshot is applied before that.
+    /// Reports the applied index to the library once it is durable. A snapshot is applied before it is durable.
     fn report_applied(node: &mut RawNode<RaftLog>) {
         let applied = node.store().applied.index;
         let log = &node.raft.raft_log;
@@ -428,18 +430,18 @@
     }
 
     fn send(&mut self, messages: Vec<eraftpb::Message>) {
-        let messages = messages.iter().filter_map(|message| RaftMessage::from_engine(self.document, message));
+        let messages = messages.iter().filter_map(|message| RaftMessage::from_raft(self.document, message));
         self.outputs.extend(messages.map(Output::Send));
     }
 }
 
-fn engine_config(id: u64, applied: u64) -> Config {
+fn raft_config(id: u64, applied: u64) -> Config {
     Config {
         id,
         election_tick: ELECTION_TICKS,
         heartbeat_tick: HEARTBEAT_TICKS,
         min_election_tick: ELECTION_TICKS,
-        max_election_tick: ENGINE_ELECTION_RANGE,
+        max_election_tick: LIBRARY_ELECTION_RANGE_TICKS,
         applied,
         max_size_per_msg: MAX_MESSAGE_BYTES,
         max_inflight_msgs: MAX_IN_FLIGHT_MESSAGES,
--- a/crates/fleet/src/replication/voter/output.rs
+++ b/crates/fleet/src/replication/voter/output.rs
@@ -1,68 +1,72 @@
-//! What a voter asks its driver to do, and reports to it.
+//! The outputs of a voter: requests and reports to its driver.
 
 use crate::replication::document::{Entry, Verdict};
 use crate::replication::log::{LogError, LogWrite};
 use crate::replication::wire::RaftMessage;
 use thiserror::Error;
 
-/// What the driver of a voter has to do, or learns from it.
+/// A request or a report of a voter to its driver.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Send a message to another voter.
+    /// The driver must send this message to another voter.
     Send(RaftMessage),
-    /// Make this durable, then call [`crate::replication::voter::Voter::persisted`] with its number. No other write is requested before that.
+    /// The driver must make this write durable, then call [`crate::replication::voter::Voter::persisted`] with its
+    /// number. No other write is requested before that call.
     Write {
-        /// Identifies the write.
+        /// The number of the write.
         number: u64,
-        /// What to write.
+        /// The write.
         write: LogWrite,
     },
     /// A proposal was committed and applied.
     Decided {
         /// The proposal's id.
         id: u64,
-        /// What became of it.
+        /// The result of the proposal.
         verdict: Verdict,
-        /// The entry that it became.
+        /// The entry of the document, if the proposal was accepted.
         entry: Option<Entry>,
     },
     /// A snapshot from the leader replaced the document.
     SnapshotInstalled,
-    /// A majority confirmed that this voter led when [`crate::replication::voter::Voter::confirm_leadership`] was called with this number.
+    /// A majority confirmed that this voter was the leader when
+    /// [`crate::replication::voter::Voter::confirm_leadership`] was called with this number.
     LeadershipConfirmed(u64),
-    /// Another voter leads.
+    /// The leader changed, as seen by this voter.
     LeaderChanged {
-        /// The leader's id; 0: none.
+        /// The id of the leader; 0: none.
         leader: u64,
-        /// The term.
+        /// The current term.
         term: u64,
     },
-    /// This voter no longer takes part.
+    /// This voter has halted.
     Halted(HaltReason),
 }
 
-/// Why a voter stopped taking part.
+/// Why a voter halted.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum HaltReason {
-    /// Its store could not make a write durable.
+    /// The store could not make a write durable.
     #[error("the store failed: {0}")]
     StoreFailed(String),
-    /// The leader has an acknowledgement of entries that the store does not have.
-    #[error("the store ends at entry {last}, and {acknowledged} was acknowledged from it: an older copy?")]
+    /// The leader has received an acknowledgement of an entry that the store does not have.
+    #[error(
+        "the store ends at entry {last}, but entry {acknowledged} was acknowledged from it: an older copy?"
+    )]
     StaleStore {
-        /// The last entry of the store.
+        /// The index of the last entry of the store.
         last: u64,
-        /// The entry that was acknowledged.
+        /// The index of the entry that was acknowledged.
         acknowledged: u64,
     },
-    /// A message contradicts the log.
-    #[error("what came contradicts the log")]
+    /// The Raft library panicked on input that contradicts the log.
+    #[error("received input contradicts the log")]
     ContradictsLog,
     /// The log or a snapshot can't be used.
     #[error(transparent)]
     Log(#[from] LogError),
     /// The Raft library reported an error.
-    #[error("{0}")]
+    #[error("the Raft library reported an error: {0}")]
     Raft(String),
 }
 
--- a/crates/fleet/src/replication/wire.rs
+++ b/crates/fleet/src/replication/wire.rs
@@ -1,28 +1,28 @@
-//! Raft messages between voters, and the log's records on disk, in this crate's own postcard form. The Raft library's
-//! protobuf form is not parsed from the network: that parser is not made for untrusted input.
+//! Raft messages between voters and log records on disk, encoded with postcard. The protobuf encoding of the Raft
+//! library is not used on the network, because its parser is not made for untrusted input.
 
 use super::document::LogPosition;
 use raft::eraftpb;
 use serde::{Deserialize, Serialize};
 
-/// The kind of a record that holds a proposal.
+/// The [`LogRecord::kind`] of a proposal.
 const RECORD_PROPOSAL: u8 = 0;
 
 /// One entry of the voters' log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LogRecord {
-    /// 0: a proposal; 1: a change of voters.
+    /// The kind of the record. 0: a proposal; 1: a change of voters.
     pub kind: u8,
-    /// The position in the log.
+    /// The position of the record in the log.
     pub position: LogPosition,
     /// The proposal, or the Raft library's description of the change of voters.
     pub data: Vec<u8>,
-    /// The proposal that belongs to a change of voters.
+    /// The proposal that records a change of voters in the document; empty for other records.
     pub context: Vec<u8>,
 }
 
 impl LogRecord {
-    pub(super) fn from_engine(entry: &eraftpb::Entry) -> LogRecord {
+    pub(super) fn from_raft(entry: &eraftpb::Entry) -> LogRecord {
         LogRecord {
             kind: u8::from(entry.get_entry_type() != eraftpb::EntryType::EntryNormal),
             position: LogPosition { term: entry.term, index: entry.index },
@@ -31,7 +31,7 @@
         }
     }
 
-    pub(super) fn to_engine(&self) -> eraftpb::Entry {
+    pub(super) fn to_raft(&self) -> eraftpb::Entry {
         let mut entry = eraftpb::Entry::default();
         if self.kind != RECORD_PROPOSAL {
             entry.set_entry_type(eraftpb::EntryType::EntryConfChange);
@@ -44,19 +44,19 @@
     }
 }
 
-/// The state that the log leads to at one position.
+/// The state after applying the log up to one position.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// The position.
+    /// The position of the last entry that is applied.
     pub position: LogPosition,
-    /// The ids of the voters there.
+    /// The ids of the voters at that position.
     pub voters: Vec<u64>,
-    /// The document in its written form; empty: none yet.
+    /// The document, encoded with postcard; empty: there is no document yet.
     pub document: Vec<u8>,
 }
 
 impl Snapshot {
-    pub(super) fn from_engine(snapshot: &eraftpb::Snapshot) -> Snapshot {
+    pub(super) fn from_raft(snapshot: &eraftpb::Snapshot) -> Snapshot {
         let metadata = snapshot.get_metadata();
         Snapshot {
             position: LogPosition { term: metadata.term, index: metadata.index },
@@ -65,7 +65,7 @@
         }
     }
 
-    pub(super) fn to_engine(&self) -> eraftpb::Snapshot {
+    pub(super) fn to_raft(&self) -> eraftpb::Snapshot {
         let mut snapshot =
             eraftpb::Snapshot { data: self.document.clone().into(), ..eraftpb::Snapshot::default() };
         let metadata = snapshot.mut_metadata();
@@ -76,7 +76,7 @@
     }
 }
 
-/// The kinds of messages that voters send each other. The place in this list is the number on the wire.
+/// The kinds of messages that voters send each other. The position in this list is the number on the wire.
 const MESSAGE_KINDS: [eraftpb::MessageType; 13] = [
     eraftpb::MessageType::MsgAppend,
     eraftpb::MessageType::MsgAppendResponse,
@@ -93,10 +93,10 @@
     eraftpb::MessageType::MsgRequestPreVoteResponse,
 ];
 
-/// A Raft message from one voter to another. The private fields are those of the Raft library's message.
+/// A Raft message from one voter to another. The private fields are those of the Raft library's message type.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RaftMessage {
-    /// The id of the document that they vote on.
+    /// The id of the document that the voters replicate.
     pub document: u64,
     /// The id of the receiver.
     pub to: u64,
@@ -118,10 +118,10 @@
 }
 
 impl RaftMessage {
-    /// `None` for a kind that stays within one process.
-    pub(super) fn from_engine(document: u64, message: &eraftpb::Message) -> Option<RaftMessage> {
+    /// Converts from the Raft library's type; `None` for a message kind that is not sent between voters.
+    pub(super) fn from_raft(document: u64, message: &eraftpb::Message) -> Option<RaftMessage> {
         let kind = MESSAGE_KINDS.iter().position(|kind| *kind == message.get_msg_type())?;
-        let snapshot = message.has_snapshot().then(|| Snapshot::from_engine(message.get_snapshot()));
+        let snapshot = message.has_snapshot().then(|| Snapshot::from_raft(message.get_snapshot()));
         Some(RaftMessage {
             document,
             to: message.to,
@@ -130,7 +130,7 @@
             term: message.term,
             log_term: message.log_term,
             index: message.index,
-            records: message.entries.iter().map(LogRecord::from_engine).collect(),
+            records: message.entries.iter().map(LogRecord::from_raft).collect(),
             commit: message.commit,
             commit_term: message.commit_term,
             snapshot,
@@ -142,8 +142,8 @@
         })
     }
 
-    /// `None` for an unknown kind.
-    pub(super) fn to_engine(&self) -> Option<eraftpb::Message> {
+    /// Converts to the Raft library's type; `None` for an unknown message kind.
+    pub(super) fn to_raft(&self) -> Option<eraftpb::Message> {
         let mut message = eraftpb::Message::default();
         message.set_msg_type(*MESSAGE_KINDS.get(usize::from(self.kind))?);
         message.to = self.to;
@@ -151,11 +151,11 @@
         message.term = self.term;
         message.log_term = self.log_term;
         message.index = self.index;
-        message.set_entries(self.records.iter().map(LogRecord::to_engine).collect::<Vec<_>>().into());
+        message.set_entries(self.records.iter().map(LogRecord::to_raft).collect::<Vec<_>>().into());
         message.commit = self.commit;
         message.commit_term = self.commit_term;
         if let Some(snapshot) = &self.snapshot {
-            message.set_snapshot(snapshot.to_engine());
+            message.set_snapshot(snapshot.to_raft());
         }
         message.request_snapshot = self.request_snapshot;
         message.reject = self.reject;
