--- a/crates/fleet/tests/lease_model.rs
+++ b/crates/fleet/tests/lease_model.rs
@@ -1,5 +1,6 @@
-//! A model check of leases: every order of grants, renewals, losses, pauses and side effects that two holders, one
-//! leader and one receiver can have within a few steps of time, with clocks that run apart. It runs the code itself.
+//! A model check of leases that runs the lease code itself. It explores every order of grants, renewals, losses, pauses
+//! and side effects of two holders, one leader and one fenced resource within a few steps of time, with clocks that run
+//! at different speeds.
 
 use lanespan_fleet::replication::document::{Document, LogPosition, Verdict};
 use lanespan_fleet::replication::lease::{Candidate, FencingGuard, HeldLeases, LeaseTable, ROLES};
@@ -7,30 +8,34 @@
 use std::collections::BTreeMap;
 
 const ROLE: &str = ROLES[0];
-/// A step of time, a lease, and how far the model goes. A lease is two steps, so that clocks which run apart are at
-/// its end when they are compared.
-const STEP: u64 = 100;
+/// The duration of a step of time.
+const STEP_DURATION: u64 = 100;
+/// The ttl of a lease. It is two steps, so that clocks of different speeds are compared at the end of a lease.
 const TTL: u64 = 200;
+/// The number of steps that the model explores.
 const LAST_STEP: u64 = 5;
-/// Renewals and answers that are on their way at once, and leaders that follow the first.
+/// The maximum number of renewals and responses in flight.
 const MAX_IN_FLIGHT: usize = 2;
+/// The maximum number of leaders after the first one.
 const MAX_LEADER_CHANGES: u8 = 1;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
     step: u64,
     document: Document,
-    log: u64,
+    last_log_index: u64,
     leases: LeaseTable,
-    leaders: u8,
+    leader_changes: u8,
     held: [HeldLeases; 2],
-    /// Whose renewal of which token, sent when by its clock, and whether it is the answer's turn to travel.
+    /// The messages in flight: the holder, its token, the time of the request by the holder's clock, and whether the
+    /// message is the response.
     messages: Vec<(usize, LogPosition, u64, bool)>,
-    /// Looked up, and not yet carried out: whoever pauses here goes on as if nothing had been.
-    in_hand: [Option<LogPosition>; 2],
-    receiver: FencingGuard,
-    /// The tokens under which side effects were taken, in order.
-    taken: Vec<LogPosition>,
+    /// The token that each holder has looked up for a side effect that is not carried out yet. A holder that pauses
+    /// here carries out the side effect later without another lookup.
+    looked_up: [Option<LogPosition>; 2],
+    guard: FencingGuard,
+    /// The tokens of the accepted side effects, in order.
+    accepted: Vec<LogPosition>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -45,21 +50,21 @@
 }
 
 struct LeaseModel {
-    /// What each clock shows when 100 have passed: the holders' and the leader's.
-    fast: [u64; 3],
-    /// Without it a receiver takes what comes, to see that the check sees it.
+    /// The speeds of the clocks in percent: those of the two holders, then the leader's.
+    clock_speeds: [u64; 3],
+    /// If false, the resource accepts every action, to show that the check detects this.
     fenced: bool,
 }
 
 impl LeaseModel {
-    fn clock(&self, who: usize, step: u64) -> u64 {
-        let shown = step * STEP * self.fast[who];
-        // Not from 0, which stands for never.
-        1_000 + shown / 100
+    fn clock(&self, gateway: usize, step: u64) -> u64 {
+        let elapsed = step * STEP_DURATION * self.clock_speeds[gateway];
+        // The clocks don't start at 0, because 0 stands for never.
+        1_000 + elapsed / 100
     }
 
-    fn me(who: usize) -> Candidate {
-        Candidate::new(format!("g{who}"), 1)
+    fn candidate(gateway: usize) -> Candidate {
+        Candidate::new(format!("g{gateway}"), 1)
     }
 }
 
@@ -72,137 +77,138 @@
         vec![State {
             step: 0,
             document,
-            log: 1,
+            last_log_index: 1,
             leases: LeaseTable::new(1, self.clock(2, 0)),
-            leaders: 0,
+            leader_changes: 0,
             held: Default::default(),
             messages: Vec::new(),
-            in_hand: [None; 2],
-            receiver: FencingGuard::default(),
-            taken: Vec::new(),
+            looked_up: [None; 2],
+            guard: FencingGuard::default(),
+            accepted: Vec::new(),
         }]
     }
 
-    fn actions(&self, state: &State, moves: &mut Vec<Action>) {
+    fn actions(&self, state: &State, actions: &mut Vec<Action>) {
         if state.step < LAST_STEP {
-            moves.push(Action::TimePasses);
+            actions.push(Action::TimePasses);
         }
-        moves.push(Action::LeaderGrants);
-        if state.leaders < MAX_LEADER_CHANGES {
-            moves.push(Action::AnotherLeads);
+        actions.push(Action::LeaderGrants);
+        if state.leader_changes < MAX_LEADER_CHANGES {
+            actions.push(Action::AnotherLeads);
         }
-        for who in 0..2 {
-            moves.extend([Action::HolderRenews(who), Action::Acts(who)]);
+        for gateway in 0..2 {
+            actions.extend([Action::HolderRenews(gateway), Action::Acts(gateway)]);
         }
-        for place in 0..state.messages.len() {
-            moves.extend([Action::Delivered(place), Action::Lost(place)]);
+        for index in 0..state.messages.len() {
+            actions.extend([Action::Delivered(index), Action::Lost(index)]);
         }
     }
 
-    fn next_state(&self, last: &State, action: Action) -> Option<State> {
-        let mut state = last.clone();
-        let clock = |who: usize| self.clock(who, last.step);
+    fn next_state(&self, previous: &State, action: Action) -> Option<State> {
+        let mut state = previous.clone();
+        let clock = |gateway: usize| self.clock(gateway, previous.step);
         match action {
             Action::TimePasses => state.step += 1,
             Action::AnotherLeads => {
-                state.leaders += 1;
+                state.leader_changes += 1;
                 state.leases = LeaseTable::new(1, clock(2));
             }
             Action::LeaderGrants => {
-                // Whoever does not hold it is offered first, so that it moves.
+                // Only a candidate that does not hold the lease is offered, so that the lease moves.
                 let holder = state.document.grant(ROLE).map(|current| current.grant.holder);
-                let other: Vec<Candidate> = (0..2)
-                    .map(LeaseModel::me)
+                let candidates: Vec<Candidate> = (0..2)
+                    .map(LeaseModel::candidate)
                     .filter(|candidate| Some(&candidate.name) != holder.as_ref())
                     .collect();
-                let mut ids = state.log * 10;
-                let due = state.leases.grants_due(&state.document, &other, TTL, clock(2), || {
-                    ids += 1;
-                    ids
+                let mut last_id = state.last_log_index * 10;
+                let due = state.leases.grants_due(&state.document, &candidates, TTL, clock(2), || {
+                    last_id += 1;
+                    last_id
                 });
                 for proposal in due {
                     if proposal.key != ROLE {
                         state.leases.grant_failed(proposal.id);
                         continue;
                     }
-                    state.log += 1;
-                    let token = LogPosition { term: 1, index: state.log };
+                    state.last_log_index += 1;
+                    let token = LogPosition { term: 1, index: state.last_log_index };
                     let text = serde_json::to_string(&proposal).ok()?;
                     let (verdict, _) = state.document.apply(token, &text);
                     assert!(matches!(verdict, Verdict::Accepted(_)));
                     state.leases.record_grant(ROLE, token, clock(2));
                 }
             }
-            Action::HolderRenews(who) => {
-                state.held[who].update(&state.document, &LeaseModel::me(who), clock(who));
-                for (role, token) in state.held[who].renewals_due(clock(who)) {
+            Action::HolderRenews(gateway) => {
+                state.held[gateway].update(&state.document, &LeaseModel::candidate(gateway), clock(gateway));
+                for (role, token) in state.held[gateway].renewals_due(clock(gateway)) {
                     if role == ROLE && state.messages.len() < MAX_IN_FLIGHT {
-                        state.messages.push((who, token, clock(who), false));
+                        state.messages.push((gateway, token, clock(gateway), false));
                     }
                 }
-                // It sets about a side effect, if it may, and may pause before it.
-                state.in_hand[who] = state.in_hand[who].or(state.held[who].token(ROLE, clock(who)));
+                // The holder starts a side effect if it holds the lease, and may pause before carrying it out.
+                state.looked_up[gateway] =
+                    state.looked_up[gateway].or(state.held[gateway].token(ROLE, clock(gateway)));
             }
-            Action::Lost(place) => drop(state.messages.remove(place)),
-            Action::Delivered(place) => {
-                let (who, token, sent, answer) = state.messages.remove(place);
-                if answer {
-                    state.held[who].renewed(ROLE, token, sent, clock(who));
+            Action::Lost(index) => drop(state.messages.remove(index)),
+            Action::Delivered(index) => {
+                let (gateway, token, sent, is_response) = state.messages.remove(index);
+                if is_response {
+                    state.held[gateway].renewed(ROLE, token, sent, clock(gateway));
                 } else if state.leases.renew(&state.document, ROLE, token, clock(2)) {
-                    state.messages.push((who, token, sent, true));
+                    state.messages.push((gateway, token, sent, true));
                 }
             }
-            Action::Acts(who) => {
-                let token = state.in_hand[who].take()?;
-                if state.receiver.admits(ROLE, token) || !self.fenced {
-                    state.taken.retain(|taken| *taken != token);
-                    state.taken.push(token);
+            Action::Acts(gateway) => {
+                let token = state.looked_up[gateway].take()?;
+                if state.guard.admits(ROLE, token) || !self.fenced {
+                    state.accepted.retain(|earlier| *earlier != token);
+                    state.accepted.push(token);
                 }
             }
         }
-        (state != *last).then_some(state)
+        (state != *previous).then_some(state)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::<Self>::always("one holder at a time", |model, state| {
-                let holds = |who: usize| state.held[who].token(ROLE, model.clock(who, state.step)).is_some();
+                let holds = |gateway: usize| {
+                    state.held[gateway].token(ROLE, model.clock(gateway, state.step)).is_some()
+                };
                 !(holds(0) && holds(1))
             }),
             Property::<Self>::always("no lower token after a higher one", |_, state| {
-                state.taken.windows(2).all(|pair| pair[0] < pair[1])
+                state.accepted.windows(2).all(|pair| pair[0] < pair[1])
             }),
-            // What shows that the model reaches what it is about.
-            Property::<Self>::sometimes("it moves and is acted on by both", |_, state| {
-                state.taken.len() == 2
-            }),
-            Property::<Self>::sometimes("one goes on late", |_, state| {
+            // These properties show that the model covers the cases that it is meant to check.
+            Property::<Self>::sometimes("both holders act in turn", |_, state| state.accepted.len() == 2),
+            Property::<Self>::sometimes("a holder acts late", |_, state| {
                 state
-                    .in_hand
+                    .looked_up
                     .iter()
                     .flatten()
-                    .any(|token| state.taken.last().is_some_and(|last| token < last))
+                    .any(|token| state.accepted.last().is_some_and(|last| token < last))
             }),
         ]
     }
 }
 
-/// The shortest way to a side effect that comes late has 17 moves.
-const DEPTH: usize = 18;
+/// The maximum depth of the search. The shortest path to a late side effect has 17 actions.
+const MAX_DEPTH: usize = 18;
 
 #[test]
-fn in_no_order_of_events_do_two_hold_the_lease_or_is_a_lower_token_accepted() {
-    for fast in [[100, 100, 100], [96, 104, 104], [104, 96, 96]] {
-        let model = LeaseModel { fast, fenced: true };
-        let checked = model.checker().threads(4).target_max_depth(DEPTH).spawn_bfs().join();
-        println!("{fast:?}: {} states", checked.unique_state_count());
+fn no_order_of_events_gives_two_holders_or_accepts_a_lower_token() {
+    for clock_speeds in [[100, 100, 100], [96, 104, 104], [104, 96, 96]] {
+        let model = LeaseModel { clock_speeds, fenced: true };
+        let checked = model.checker().threads(4).target_max_depth(MAX_DEPTH).spawn_bfs().join();
+        println!("{clock_speeds:?}: {} states", checked.unique_state_count());
         checked.assert_properties();
     }
 }
 
 #[test]
 fn the_check_detects_a_resource_without_fencing() {
-    let model = LeaseModel { fast: [100; 3], fenced: false };
-    let checked = model.checker().threads(4).target_max_depth(DEPTH).spawn_bfs().join();
+    let model = LeaseModel { clock_speeds: [100; 3], fenced: false };
+    let checked = model.checker().threads(4).target_max_depth(MAX_DEPTH).spawn_bfs().join();
     assert!(checked.discovery("no lower token after a higher one").is_some());
 }
--- a/crates/fleet/tests/replication_fixtures.rs
+++ b/crates/fleet/tests/replication_fixtures.rs
@@ -1,5 +1,5 @@
-//! What the base build (c48a8dd) wrote and sent, kept as files: every message and record of the replicated document
-//! is encoded and decoded as it was there, and a seeded run of voters gives the same history.
+//! Compares the replicated document with the base build (c48a8dd), whose output is kept in fixture files. Every message
+//! and record must have the same encoding, and a seeded run of voters must give the same history.
 
 use lanespan_fleet::replication::document::{
     Document, Entry, LeaseProof, LogPosition, Proposal, Rejection, Verdict, SCHEMA_VERSION,
@@ -24,7 +24,10 @@
 }
 
 fn unhex(text: &str) -> Vec<u8> {
-    (0..text.len()).step_by(2).map(|at| u8::from_str_radix(&text[at..at + 2], 16).expect("hex")).collect()
+    (0..text.len())
+        .step_by(2)
+        .map(|offset| u8::from_str_radix(&text[offset..offset + 2], 16).expect("hexadecimal digits"))
+        .collect()
 }
 
 fn fixture(name: &str) -> String {
@@ -32,12 +35,16 @@
     std::fs::read_to_string(&path).unwrap_or_default()
 }
 
-/// Compares with the file of the base build, and leaves what came out instead beside the build's other files.
+/// Compares the output of this build with a fixture file. If they differ, writes the output to the target directory and
+/// panics.
 fn assert_fixture(name: &str, found: &str) {
     if found != fixture(name) {
         let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
-        std::fs::write(&path, found).expect("written");
-        panic!("{name} differs from what the base build wrote; this build's is in {}", path.display());
+        std::fs::write(&path, found).expect("the output is written");
+        panic!(
+            "{name} differs from the output of the base build; the output of this build is in {}",
+            path.display()
+        );
     }
 }
 
@@ -62,12 +69,12 @@
     Entry { index: 6, position, text: r#"{"id":9}"#.into(), digest: 0xfeed_0123_4567_89ab }
 }
 
-/// A document with an item in two sections, one of them from an entry.
+/// Creates a document with an item in each of two sections, one of which comes from an entry.
 fn document() -> Document {
     let voters = BTreeMap::from([("g0".to_string(), r#"{"id":1}"#.to_string())]);
     let mut document = Document::bootstrap(DOCUMENT, &voters);
     let change = Proposal { expected_index: None, expected_item_index: None, lease: None, ..proposal(41) };
-    let text = serde_json::to_string(&change).expect("a form");
+    let text = serde_json::to_string(&change).expect("it can be encoded");
     assert_eq!(document.apply(LogPosition { term: 2, index: 8 }, &text).0, Verdict::Accepted(1));
     document
 }
@@ -90,29 +97,29 @@
 }
 
 fn verdicts() -> Vec<Verdict> {
-    let refusals = [
+    let rejections = [
         Rejection::DocumentChanged(4),
         Rejection::ItemChanged(5),
         Rejection::Fenced(LogPosition { term: 6, index: 7 }),
         Rejection::Invalid("too long".into()),
         Rejection::DocumentFull,
     ];
-    let refused = refusals.into_iter().map(Verdict::Rejected);
-    [Verdict::Accepted(2), Verdict::Duplicate(3)].into_iter().chain(refused).collect()
+    let rejected = rejections.into_iter().map(Verdict::Rejected);
+    [Verdict::Accepted(2), Verdict::Duplicate(3)].into_iter().chain(rejected).collect()
 }
 
 fn postcard(value: &impl Serialize) -> Vec<u8> {
-    postcard::to_allocvec(value).expect("a form")
+    postcard::to_allocvec(value).expect("it can be encoded")
 }
 
 fn json(value: &impl Serialize) -> Vec<u8> {
-    serde_json::to_vec(value).expect("a form")
+    serde_json::to_vec(value).expect("it can be encoded")
 }
 
-/// One of each kind of value that is stored or sent, built here by its fields.
+/// Returns one encoded value of each kind that is stored or sent, with the kind's name.
 fn samples() -> Vec<(String, Vec<u8>)> {
     let entries = CatchUp::Entries(vec![entry(), Entry { index: 7, ..entry() }]);
-    let whole = CatchUp::Snapshot(Box::new(document()));
+    let snapshot_catch_up = CatchUp::Snapshot(Box::new(document()));
     let hard_state = HardState { term: 11, vote: 12, commit: 13 };
     let write = LogWrite {
         snapshot: Some(snapshot()),
@@ -129,81 +136,81 @@
         ("postcard write".to_string(), postcard(&write)),
         ("postcard document".to_string(), postcard(&document())),
         ("postcard news entries".to_string(), postcard(&(DOCUMENT, Some(entries)))),
-        ("postcard news whole".to_string(), postcard(&(DOCUMENT, Some(whole)))),
+        ("postcard news whole".to_string(), postcard(&(DOCUMENT, Some(snapshot_catch_up)))),
         ("postcard news none".to_string(), postcard(&(DOCUMENT, None::<CatchUp>))),
         ("json proposal".to_string(), json(&proposal(77))),
         ("json proposal removes".to_string(), json(&Proposal { value: None, lease: None, ..proposal(78) })),
         ("json token".to_string(), json(&LogPosition { term: 3, index: 4 })),
     ];
     let verdicts = verdicts().into_iter().enumerate();
-    samples.extend(verdicts.map(|(place, verdict)| (format!("json verdict {place}"), json(&verdict))));
+    samples.extend(verdicts.map(|(index, verdict)| (format!("json verdict {index}"), json(&verdict))));
     samples
 }
 
-fn again<T: Serialize + DeserializeOwned>(name: &str, bytes: &[u8]) -> Vec<u8> {
+fn reencode_as<T: Serialize + DeserializeOwned>(name: &str, bytes: &[u8]) -> Vec<u8> {
     match name.split(' ').next() {
         Some("postcard") => postcard(&postcard::from_bytes::<T>(bytes).expect(name)),
         _ => json(&serde_json::from_slice::<T>(bytes).expect(name)),
     }
 }
 
-/// Decodes and encodes again what is of this name.
-fn decoded_and_encoded(name: &str, bytes: &[u8]) -> Vec<u8> {
-    match name.split(' ').nth(1).expect("a kind") {
-        "token" => again::<LogPosition>(name, bytes),
-        "entry" => again::<Entry>(name, bytes),
-        "record" => again::<LogRecord>(name, bytes),
-        "snapshot" => again::<Snapshot>(name, bytes),
-        "promise" => again::<HardState>(name, bytes),
-        "write" => again::<LogWrite>(name, bytes),
-        "document" => again::<Document>(name, bytes),
-        "news" => again::<(u64, Option<CatchUp>)>(name, bytes),
-        "proposal" => again::<Proposal>(name, bytes),
-        "verdict" => again::<Verdict>(name, bytes),
-        "letters" => again::<Vec<RaftMessage>>(name, bytes),
-        other => panic!("unknown kind {other}"),
+/// Decodes a value of the kind that its name gives, and encodes it again.
+fn reencode(name: &str, bytes: &[u8]) -> Vec<u8> {
+    match name.split(' ').nth(1).expect("the name has a kind") {
+        "token" => reencode_as::<LogPosition>(name, bytes),
+        "entry" => reencode_as::<Entry>(name, bytes),
+        "record" => reencode_as::<LogRecord>(name, bytes),
+        "snapshot" => reencode_as::<Snapshot>(name, bytes),
+        "promise" => reencode_as::<HardState>(name, bytes),
+        "write" => reencode_as::<LogWrite>(name, bytes),
+        "document" => reencode_as::<Document>(name, bytes),
+        "news" => reencode_as::<(u64, Option<CatchUp>)>(name, bytes),
+        "proposal" => reencode_as::<Proposal>(name, bytes),
+        "verdict" => reencode_as::<Verdict>(name, bytes),
+        "letters" => reencode_as::<Vec<RaftMessage>>(name, bytes),
+        other => panic!("unknown kind {other} in the name of a value"),
     }
 }
 
 #[test]
-fn every_stored_and_sent_value_has_the_bytes_of_the_base_build() {
+fn stored_and_sent_values_have_the_encoding_of_the_base_build() {
     let found = samples().iter().fold(String::new(), |mut text, (name, bytes)| {
         let _ = writeln!(text, "{name}: {}", hex(bytes));
         text
     });
     assert_fixture("plan_values.txt", &found);
     for line in fixture("plan_values.txt").lines() {
-        let (name, bytes) = line.split_once(": ").expect("a name");
-        assert_eq!(hex(&decoded_and_encoded(name, &unhex(bytes))), bytes, "{name}");
+        let (name, bytes) = line.split_once(": ").expect("the line has a name");
+        assert_eq!(hex(&reencode(name, &unhex(bytes))), bytes, "{name}");
     }
 }
 
-/// Voters that hear each other at once and whose disks take no time, so that nothing but them decides what is sent.
+/// Voters with immediate delivery of messages and immediate writes, so that their outputs depend on nothing else.
 struct Voters {
     voters: Vec<(Voter, DurableState)>,
-    on_the_way: VecDeque<RaftMessage>,
-    /// Whose letters are lost.
+    in_flight: VecDeque<RaftMessage>,
+    /// The voters whose messages are lost, in both directions.
     lost: BTreeSet<u64>,
-    /// The bytes of the first letter of each kind.
-    kinds: BTreeMap<u8, Vec<u8>>,
-    /// Every output of every voter, in order.
+    /// The bytes of the first message of each kind.
+    first_of_kind: BTreeMap<u8, Vec<u8>>,
+    /// The outputs of all voters, in order.
     history: Vec<u8>,
 }
 
 impl Voters {
     fn new() -> Voters {
-        let named = (1..=3).map(|id| (format!("g{id}"), id.to_string())).collect();
-        let first =
-            DurableState::bootstrap(&Document::bootstrap(DOCUMENT, &named), vec![1, 2, 3]).expect("a form");
+        let items = (1..=3).map(|id| (format!("g{id}"), id.to_string())).collect();
+        let first = DurableState::bootstrap(&Document::bootstrap(DOCUMENT, &items), vec![1, 2, 3])
+            .expect("it can be encoded");
         let disks = [first.clone(), first.clone(), first, DurableState::empty()];
         let voters = (1..).zip(disks);
-        let voters =
-            voters.map(|(id, disk)| (Voter::new(id, DOCUMENT, &disk, id * 11).expect("sound"), disk));
+        let voters = voters
+            .map(|(id, disk)| (Voter::new(id, DOCUMENT, &disk, id * 11).expect("the voter starts"), disk));
         Voters {
             voters: voters.collect(),
-            on_the_way: VecDeque::new(),
+            in_flight: VecDeque::new(),
             lost: BTreeSet::new(),
-            kinds: BTreeMap::new(),
+            first_of_kind: BTreeMap::new(),
             history: Vec::new(),
         }
     }
@@ -213,34 +220,35 @@
     }
 
     fn leader(&self) -> u64 {
-        let leads = self.voters.iter().find(|(voter, _)| voter.is_leader());
-        leads.map(|(voter, _)| voter.id()).expect("one leads")
+        let leader = self.voters.iter().find(|(voter, _)| voter.is_leader());
+        leader.map(|(voter, _)| voter.id()).expect("a voter is the leader")
     }
 
-    fn take_outputs(&mut self) -> bool {
+    fn handle_outputs(&mut self) -> bool {
         let mut any = false;
-        for place in 0..self.voters.len() {
-            for output in self.voters[place].0.poll_outputs() {
+        for index in 0..self.voters.len() {
+            for output in self.voters[index].0.poll_outputs() {
                 any = true;
-                self.take_output(place, output);
+                self.handle_output(index, output);
             }
         }
         any
     }
 
-    fn take_output(&mut self, place: usize, output: Output) {
+    fn handle_output(&mut self, index: usize, output: Output) {
         let (code, bytes) = match output {
-            Output::Send(letter) => {
-                let bytes = postcard(&vec![letter.clone()]);
-                // One letter; after it document, receiver and sender, a byte each here, stands the kind.
-                self.kinds.entry(bytes[4]).or_insert_with(|| bytes.clone());
-                if !self.lost.contains(&letter.from) && !self.lost.contains(&letter.to) {
-                    self.on_the_way.push_back(letter);
+            Output::Send(message) => {
+                let bytes = postcard(&vec![message.clone()]);
+                // The bytes are the number of messages, then the document, the receiver and the sender, one byte each
+                // here, and then the kind.
+                self.first_of_kind.entry(bytes[4]).or_insert_with(|| bytes.clone());
+                if !self.lost.contains(&message.from) && !self.lost.contains(&message.to) {
+                    self.in_flight.push_back(message);
                 }
                 (0, bytes)
             }
             Output::Write { number, write } => {
-                let (voter, disk) = &mut self.voters[place];
+                let (voter, disk) = &mut self.voters[index];
                 disk.apply(&write);
                 voter.persisted(number);
                 (1, postcard(&(number, write)))
@@ -251,24 +259,24 @@
             Output::LeaderChanged { leader, term } => (5, postcard(&(leader, term))),
             Output::Halted(reason) => panic!("halted: {reason}"),
         };
-        self.history.extend([place as u8, code]);
+        self.history.extend([index as u8, code]);
         self.history.extend(bytes);
     }
 
-    fn settle(&mut self) {
-        while self.take_outputs() || !self.on_the_way.is_empty() {
-            if let Some(letter) = self.on_the_way.pop_front() {
-                if let Some((voter, _)) = self.voters.get_mut(letter.to as usize - 1) {
-                    voter.receive(&letter);
+    fn deliver_all(&mut self) {
+        while self.handle_outputs() || !self.in_flight.is_empty() {
+            if let Some(message) = self.in_flight.pop_front() {
+                if let Some((voter, _)) = self.voters.get_mut(message.to as usize - 1) {
+                    voter.receive(&message);
                 }
             }
         }
     }
 
-    fn ticks(&mut self, count: usize) {
+    fn run_ticks(&mut self, count: usize) {
         for _ in 0..count {
             self.voters.iter_mut().for_each(|(voter, _)| voter.tick());
-            self.settle();
+            self.deliver_all();
         }
     }
 
@@ -277,8 +285,8 @@
         for id in ids {
             let plain =
                 Proposal { expected_index: None, expected_item_index: None, lease: None, ..proposal(id) };
-            self.voter(leader).propose(&plain).expect("it leads");
-            self.settle();
+            self.voter(leader).propose(&plain).expect("it is the leader");
+            self.deliver_all();
         }
     }
 
@@ -290,56 +298,56 @@
         let plain = Proposal { expected_index: None, expected_item_index: None, lease: None, ..proposal(id) };
         let plain = Proposal { section: "voters".into(), key: name, value, ..plain };
         let leader = self.leader();
-        self.voter(leader).change_voters(change, &plain).expect("it leads");
-        self.settle();
+        self.voter(leader).change_voters(change, &plain).expect("it is the leader");
+        self.deliver_all();
     }
 }
 
-/// A run that makes voters send each kind of message that they send at all.
+/// Runs voters through steps that make them send every kind of message that voters send.
 fn scripted_run() -> Voters {
     let mut net = Voters::new();
-    net.ticks(40);
+    net.run_ticks(40);
     net.propose(1..=3);
     let first = net.leader();
     net.voter(first).confirm_leadership(99);
-    net.settle();
-    // Whoever follows passes the wish on to the leader.
-    let other = (1..=3).find(|id| *id != first).expect("another");
+    net.deliver_all();
+    // A follower forwards the request for a transfer of leadership to the leader.
+    let other = (1..=3).find(|id| *id != first).expect("there are other voters");
     net.voter(other).transfer_leadership(other);
-    net.settle();
-    net.ticks(5);
-    // One that was away lags behind what the log keeps, and gets the state.
+    net.deliver_all();
+    net.run_ticks(5);
+    // A voter that missed more entries than the log retains gets a snapshot.
     let leader = net.leader();
-    let away = (1..=3).find(|id| *id != leader).expect("another");
+    let away = (1..=3).find(|id| *id != leader).expect("there are other voters");
     net.lost.insert(away);
     net.propose(1_000..=3_200);
     net.lost.clear();
     net.voter(leader).report_unreachable(away);
-    net.ticks(30);
+    net.run_ticks(30);
     net.change(5_000, VoterChange::Add(4));
-    net.ticks(30);
+    net.run_ticks(30);
     net.change(5_001, VoterChange::Remove(away));
-    net.ticks(30);
+    net.run_ticks(30);
     net
 }
 
 #[test]
-fn voters_send_and_write_the_bytes_of_the_base_build_and_read_every_kind_of_message() {
+fn voters_send_and_write_the_bytes_of_the_base_build_and_decode_every_kind_of_message() {
     let net = scripted_run();
-    let mut letters = net.kinds.clone();
-    // Kinds that the engine knows and these voters never send, in the form of a heartbeat.
+    let mut messages = net.first_of_kind.clone();
+    // Kinds that the Raft library knows but these voters never send are added as copies of a heartbeat.
     for kind in 0..13 {
-        let mut letter = net.kinds[&5].clone();
-        letter[4] = kind;
-        letters.entry(kind).or_insert(letter);
+        let mut message = net.first_of_kind[&5].clone();
+        message[4] = kind;
+        messages.entry(kind).or_insert(message);
     }
-    assert!(net.kinds.len() >= 10, "{:?}", net.kinds.keys());
+    assert!(net.first_of_kind.len() >= 10, "{:?}", net.first_of_kind.keys());
     let mut found = String::new();
-    for (kind, bytes) in &letters {
-        // A snapshot is long: its digest stands for it.
+    for (kind, bytes) in &messages {
+        // A snapshot is long, so the fixture has only its digest.
         let form = if bytes.len() < 4_096 { hex(bytes) } else { format!("digest {:016x}", xxh3_64(bytes)) };
         let _ = writeln!(found, "postcard letters {kind}: {form}");
-        assert_eq!(decoded_and_encoded("postcard letters", bytes), *bytes);
+        assert_eq!(reencode("postcard letters", bytes), *bytes);
     }
     let _ = writeln!(found, "history {} bytes, {:016x}", net.history.len(), xxh3_64(&net.history));
     for (voter, disk) in &net.voters {
@@ -349,43 +357,43 @@
     assert_fixture("plan_letters.txt", &found);
 }
 
-/// Faults of all kinds over a seeded network; all that can be seen of it.
+/// Runs a seeded network with faults of all kinds, and returns its observable history as text.
 fn simulated_history(seed: u64) -> String {
     let mut net = Network::new(3, 1, seed);
     net.conditions.loss = 0.1;
     net.conditions.duplication = 0.1;
-    let mut told = String::new();
+    let mut history = String::new();
     for id in 1..=200u64 {
         match net.rng.u8(..12) {
             0 => {
-                let victim = net.rng.usize(..3);
-                net.crash(victim);
+                let crashed = net.rng.usize(..3);
+                net.crash(crashed);
             }
             1 => {
-                let still = net.rng.usize(..3);
-                net.stall(still, SECOND);
+                let stalled = net.rng.usize(..3);
+                net.stall(stalled, SECOND);
             }
             2 => net.partition(&[id as usize % 3]),
             3..=5 => net.cut.clear(),
-            6 => (0..3).for_each(|place| _ = net.change_voters(place, 10_000 + id, VoterChange::Add(4))),
-            7 => (0..3).for_each(|place| _ = net.change_voters(place, 20_000 + id, VoterChange::Remove(4))),
+            6 => (0..3).for_each(|index| _ = net.change_voters(index, 10_000 + id, VoterChange::Add(4))),
+            7 => (0..3).for_each(|index| _ = net.change_voters(index, 20_000 + id, VoterChange::Remove(4))),
             _ => {}
         }
-        for place in 0..net.voters.len() {
-            if net.voters[place].voter.is_none() && net.rng.bool() {
-                assert!(net.start(place));
+        for index in 0..net.voters.len() {
+            if net.voters[index].voter.is_none() && net.rng.bool() {
+                assert!(net.start(index));
             }
-            let _ = net.propose(place, id, id, None);
-            let _ = net.with_voter(place, |voter| {
+            let _ = net.propose(index, id, id, None);
+            let _ = net.with_voter(index, |voter| {
                 voter.confirm_leadership(id);
                 Ok(())
             });
         }
         let pause = net.rng.u64(..SECOND / 2);
         net.run(pause);
-        let leader = net.leader().and_then(|place| net.voters[place].voter.as_ref());
-        let place = leader.map(|voter| (voter.id(), voter.log_position().to_string()));
-        let _ = writeln!(told, "{id} at {}: {} sent, {place:?} leads", net.now, net.sent);
+        let leader = net.leader().and_then(|index| net.voters[index].voter.as_ref());
+        let leader = leader.map(|voter| (voter.id(), voter.log_position().to_string()));
+        let _ = writeln!(history, "{id} at {}: {} sent, {leader:?} leads", net.now, net.sent);
     }
     for sim in &net.voters {
         let decided: Vec<String> =
@@ -393,17 +401,17 @@
         let entries = hex(&postcard(&sim.entries));
         let disk = &sim.disk;
         let disk = hex(&postcard(&(disk.hard_state, disk.base, &disk.snapshot, &disk.records)));
-        let _ = writeln!(told, "{decided:?} {entries} {:?} {:?} {disk}", sim.confirmed, sim.halted);
+        let _ = writeln!(history, "{decided:?} {entries} {:?} {:?} {disk}", sim.confirmed, sim.halted);
     }
-    told
+    history
 }
 
 #[test]
 fn seeded_simulations_have_the_histories_of_the_base_build() {
     let mut found = String::new();
     for seed in 1..=8 {
-        let told = simulated_history(seed);
-        let _ = writeln!(found, "seed {seed}: {} bytes, {:016x}", told.len(), xxh3_64(told.as_bytes()));
+        let history = simulated_history(seed);
+        let _ = writeln!(found, "seed {seed}: {} bytes, {:016x}", history.len(), xxh3_64(history.as_bytes()));
     }
     assert_fixture("plan_histories.txt", &found);
 }
