--- a/crates/policy/src/action.rs
+++ b/crates/policy/src/action.rs
@@ -1,8 +1,8 @@
-//! What an engine wants done.
+//! Actions: what the engine asks its driver to do.
 
 use crate::{BackendId, CounterKey, Micros, RequestId, TimerId};
 
-/// What an engine wants done.
+/// An action that the engine's driver must carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send an attempt to a backend.
@@ -11,19 +11,19 @@
         request: RequestId,
         /// The backend.
         backend: BackendId,
-        /// The attempt is given up at this time.
+        /// The time at which the attempt is abandoned.
         give_up_at: Micros,
-        /// The attempt is begun by this time or not at all.
+        /// The latest time at which the attempt may start; after it, the attempt must not be sent.
         begin_by: Micros,
     },
-    /// Final answer: rejected. Repeating the request is harmless.
+    /// Answer the request as rejected. This promises the client that repeating the request is harmless.
     Reject {
         /// The request.
         request: RequestId,
-        /// When the client best comes back.
+        /// The delay after which the client should retry, if one is sent.
         retry_after: Option<Micros>,
     },
-    /// Final answer: failed. Nothing is promised of the effect.
+    /// Answer the request as failed. The request may or may not have taken effect.
     Fail(RequestId),
     /// Cancel an attempt.
     CancelAttempt {
@@ -32,18 +32,18 @@
         /// The index of the attempt.
         attempt: usize,
     },
-    /// Ask a backend for its health and load. The engine does not do so yet.
+    /// Request a backend's health and load. The engine does not emit this action yet.
     CheckHealth(BackendId),
-    /// Add to a number of the counter service and report the total.
+    /// Add to a count on the counter service and report the new total.
     AddToCounter {
-        /// The name of the number.
+        /// The key of the count.
         key: CounterKey,
-        /// What is added.
+        /// The amount to add, which may be negative.
         amount: f64,
-        /// How long the service keeps the number.
+        /// How long the counter service keeps the count.
         lifetime: Micros,
     },
-    /// Report [`Event::TimerFired`](crate::Event::TimerFired) after a delay.
+    /// Set a timer that delivers [`Event::TimerFired`](crate::Event::TimerFired) after a delay.
     SetTimer {
         /// The timer.
         timer: TimerId,
@@ -52,6 +52,6 @@
     },
     /// Subscribe to changes of the endpoint list.
     SubscribeEndpoints,
-    /// Fetch the complete endpoint list. The engine does not do so yet.
+    /// Fetch the complete endpoint list. The engine does not emit this action yet.
     FetchEndpoints,
 }
--- a/crates/policy/src/attempt_rules.rs
+++ b/crates/policy/src/attempt_rules.rs
@@ -1,18 +1,18 @@
-//! Which attempts a request may have: retries, hedged requests and idempotency. Every attempt and every rejection
-//! passes these rules.
+//! Rules for the attempts of a request: retries, hedging and idempotency. Every attempt and every rejection must pass
+//! these rules.
 
 use crate::location::Location;
 use crate::request::Request;
 use crate::{BackendId, DeduplicationScope, Idempotency, Micros, RequestClass, Settings};
 
-/// Limits on the attempts of any request.
+/// Limits on attempts that apply to every request.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct AttemptLimits {
-    /// The most attempts for one request.
+    /// Maximum number of attempts per request.
     pub(crate) max_attempts: usize,
-    /// Two attempts of one request may be in flight together.
+    /// Whether two attempts of one request may be in flight at the same time.
     pub(crate) hedging: bool,
-    /// What is taken off the deduplication window, as time passes on the way to a backend.
+    /// Time subtracted from the deduplication window, because an attempt takes time to arrive at a backend.
     pub(crate) window_margin: Micros,
 }
 
@@ -44,7 +44,7 @@
         AttemptRules { request, class: settings.class_of(&request.arrival), limits, now }
     }
 
-    /// Whether the request may have another attempt, if some backend is fit for it.
+    /// Returns whether the request may have another attempt, provided that a suitable backend exists.
     pub(crate) fn allow_attempt(&self) -> bool {
         let request = self.request;
         let may_hedge = self.limits.hedging || !request.is_in_flight();
@@ -55,27 +55,27 @@
             && may_hedge
     }
 
-    /// Whether an attempt at this place can't have the request take effect twice. `locate` tells where earlier
-    /// attempts went.
+    /// Returns whether an attempt at this location can't make the request take effect twice. `locate` returns the
+    /// location of a backend that received an earlier attempt.
     pub(crate) fn is_safe_at(
         &self,
         location: Location,
         locate: impl Fn(BackendId) -> Option<Location>,
     ) -> bool {
-        let mut effective = self.request.attempts.iter().filter(|attempt| attempt.may_have_effect());
+        let mut possibly_executed = self.request.attempts.iter().filter(|attempt| attempt.may_have_effect());
         match self.class.idempotency {
             Idempotency::Idempotent => true,
-            Idempotency::NonIdempotent => effective.next().is_none(),
-            Idempotency::Keyed => effective.all(|attempt| {
+            Idempotency::NonIdempotent => possibly_executed.next().is_none(),
+            Idempotency::Keyed => possibly_executed.all(|attempt| {
                 let window_end = attempt.sent_at + self.class.deduplication_window;
                 let in_window = self.now + self.limits.window_margin < window_end;
-                in_window && self.shares_keys(locate(attempt.backend), location)
+                in_window && self.share_idempotency_keys(locate(attempt.backend), location)
             }),
         }
     }
 
-    /// Whether two backends share the idempotency keys that they have seen.
-    fn shares_keys(&self, first: Option<Location>, second: Location) -> bool {
+    /// Returns whether backends at these two locations share the idempotency keys that they have seen.
+    fn share_idempotency_keys(&self, first: Option<Location>, second: Location) -> bool {
         match self.class.deduplication_scope {
             DeduplicationScope::AllBackends => true,
             DeduplicationScope::Zone => first.is_some_and(|first| first.zone == second.zone),
@@ -84,7 +84,7 @@
     }
 }
 
-/// Whether the request may be answered as rejected, which promises that repeating it is harmless.
+/// Returns whether the request may be answered as rejected, which promises that repeating it is harmless.
 pub(crate) fn may_reject(request: &Request, class: &RequestClass) -> bool {
     let repeat_is_harmless = match class.idempotency {
         Idempotency::Idempotent => true,
--- a/crates/policy/src/attempt_times.rs
+++ b/crates/policy/src/attempt_times.rs
@@ -1,16 +1,18 @@
-//! The times of an attempt: by when it is begun, and when it is given up.
+//! Time limits of an attempt: the latest start and the time at which it is abandoned.
 
 use crate::attempt_rules::AttemptLimits;
 use crate::request::Request;
 use crate::{DeduplicationScope, Idempotency, Micros, RequestClass};
 
-/// Share of the latency objective that is left for a retry when an attempt is given up early, and that an attempt
-/// has at least before it is.
+/// Share of the latency objective that remains for a retry when an attempt is abandoned early, and minimum share that
+/// an attempt gets before it is abandoned early.
 const RETRY_TIME_SHARE: f64 = 0.3;
 
-/// When an attempt sent now is given up: at the deadline, or while a retry could still meet the latency objective.
-/// The latter guards against backends that fall silent. It is not done while attempts fail or are late everywhere
-/// (`backends_are_healthy`), as giving up wastes work in an overload.
+/// Returns when an attempt sent now is abandoned: at the deadline, or early enough for a retry to still meet the
+/// latency objective.
+///
+/// The early time covers backends that stop responding. It is not used if attempts fail or are late at all backends
+/// (`backends_are_healthy` is false), because abandoning attempts wastes work during an overload.
 pub(crate) fn give_up_at(
     request: &Request,
     class: &RequestClass,
@@ -32,7 +34,8 @@
     }
 }
 
-/// Whether an attempt that may have run can be repeated at any backend, and the answer can still be chosen.
+/// Returns whether an attempt that may have run can be repeated at any backend. This excludes streams, for
+/// which the response can't be chosen among several attempts.
 fn can_retry_anywhere(class: &RequestClass) -> bool {
     let any_backend = match class.idempotency {
         Idempotency::Idempotent => true,
@@ -42,15 +45,15 @@
     any_backend && !class.streaming
 }
 
-/// By when an attempt is begun or not at all. A connection may take its time to come up: a repeat with an
-/// idempotency key is begun while the backends remember the key of the first attempt.
+/// Returns the latest time at which an attempt may start. Establishing a connection may take long, and a repeat with an
+/// idempotency key must start while the backends still remember the key from the first attempt.
 pub(crate) fn begin_by(request: &Request, class: &RequestClass, limits: AttemptLimits) -> Micros {
     let deadline = request.arrival.deadline;
     if class.idempotency != Idempotency::Keyed {
         return deadline;
     }
-    let effective = request.attempts.iter().filter(|attempt| attempt.may_have_effect());
-    match effective.map(|attempt| attempt.sent_at).min() {
+    let possibly_executed = request.attempts.iter().filter(|attempt| attempt.may_have_effect());
+    match possibly_executed.map(|attempt| attempt.sent_at).min() {
         Some(first) => first + class.deduplication_window - limits.window_margin,
         None => deadline,
     }
--- a/crates/policy/src/endpoint.rs
+++ b/crates/policy/src/endpoint.rs
@@ -1,15 +1,15 @@
-//! The endpoint list: which backends there are, as discovery reports them.
+//! The endpoint list: the backends reported by discovery.
 
 use crate::{BackendId, CellId, Micros, ZoneId};
 
-/// Whether a backend takes new work, as the endpoint list has it.
+/// The state of a backend in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointState {
-    /// It takes work.
+    /// The backend takes new work.
     InService,
-    /// It finishes what it has and takes nothing new.
+    /// The backend completes its work in flight and takes no new work.
     Draining,
-    /// It was taken out of service.
+    /// The backend was taken out of service.
     Removed,
 }
 
@@ -18,25 +18,25 @@
 pub struct Endpoint {
     /// The backend.
     pub backend: BackendId,
-    /// Its zone.
+    /// The backend's zone.
     pub zone: ZoneId,
-    /// Its cell.
+    /// The backend's cell.
     pub cell: CellId,
-    /// Whether it takes new work.
+    /// Whether the backend takes new work.
     pub state: EndpointState,
-    /// Its capacity against the others'.
+    /// The backend's capacity relative to the other backends.
     pub weight: f64,
-    /// When it last started; `None`: long ago.
+    /// When the backend last started; `None` means long ago.
     pub started_at: Option<Micros>,
 }
 
-/// What an endpoint list event holds.
+/// The scope of an endpoint list event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointListScope {
     /// Only the entries that changed.
     Changes,
-    /// The complete list: what it does not name is gone.
+    /// The complete list; backends missing from it are gone.
     Complete,
-    /// Fetching the list or subscribing to it failed; the last list stays in force.
+    /// No entries, because fetching the list or subscribing to it failed; the last list remains valid.
     Unavailable,
 }
--- a/crates/policy/src/engine.rs
+++ b/crates/policy/src/engine.rs
@@ -1,7 +1,8 @@
-//! The engine: takes events, lets the rules decide, and collects actions. It holds no rule of its own.
+//! The engine: dispatches each event to the rules that decide on it, and collects the resulting actions. It has no
+//! rules of its own.
 //!
-//! [`admission`] is the way of a request from its arrival to the decision that it may be forwarded, [`forwarding`] to
-//! its attempts, [`completion`] to its final answer. [`snapshot`] shows the state to operators.
+//! [`admission`] takes a request from its arrival to the decision to forward it, [`forwarding`] sends its attempts, and
+//! [`completion`] leads to its final answer. [`snapshot`] reports the engine's state to operators.
 
 mod admission;
 mod completion;
@@ -22,12 +23,13 @@
 };
 use std::collections::BTreeMap;
 
-/// The shortest time until a subscription to the endpoint list is made again.
+/// Minimum delay before the engine subscribes to the endpoint list again after discovery reported a failure.
 const MIN_RESUBSCRIBE_DELAY: Micros = Micros::from_millis(500);
-/// The random time that is added is below this.
+/// Exclusive upper bound of the random jitter added to [`MIN_RESUBSCRIBE_DELAY`].
 const MAX_RESUBSCRIBE_JITTER: Micros = Micros::from_millis(500);
 
-/// The decisions of one gateway. It shares nothing with others but the totals of the counter service.
+/// Makes all decisions of one gateway. The totals of the counter service are the only state it shares with other
+/// gateways.
 #[derive(Default)]
 pub struct Engine {
     settings: Settings,
@@ -45,7 +47,8 @@
 }
 
 impl Engine {
-    /// An engine as it starts, which knows nothing but its settings. The same seed and events give the same actions.
+    /// Creates an engine that knows no endpoints or customers yet. The same seed and the same events always produce the
+    /// same actions.
     pub fn new(seed: u64, settings: Settings) -> Result<Engine, SettingsError> {
         settings.check()?;
         let mut engine = Engine {
@@ -57,19 +60,20 @@
             settings,
             ..Engine::default()
         };
-        // These actions go out with the first event, whichever that is.
+        // The first call of `handle` returns these actions, whatever its event is.
         engine.start_timer(Timer::Sweep, CUSTOMER_RETENTION);
         engine.subscribe();
         Ok(engine)
     }
 
-    /// How many things have state: it comes back down when traffic does.
+    /// Returns the number of tracked items: backends, customers, requests, counter keys, timers and queued requests. It
+    /// falls again when traffic does.
     pub fn tracked_items(&self) -> usize {
-        let known = self.balancer.backend_count() + self.quotas.customer_count() + self.requests.len();
-        known + self.quotas.counter().pending_keys() + self.timers.len() + self.wait_queue.len()
+        let tracked = self.balancer.backend_count() + self.quotas.customer_count() + self.requests.len();
+        tracked + self.quotas.counter().pending_keys() + self.timers.len() + self.wait_queue.len()
     }
 
-    /// Takes one event and appends what is to be done.
+    /// Processes one event and appends the resulting actions to `actions`.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
         match event {
@@ -86,7 +90,7 @@
         actions.append(&mut self.actions);
     }
 
-    /// Whether a connection to a backend may be opened ahead of need.
+    /// Returns whether a connection to this backend may be opened before a request needs it.
     pub fn may_preconnect(&mut self, now: Micros, backend: BackendId) -> bool {
         self.now = self.now.max(now);
         self.balancer.may_preconnect(self.now, backend)
@@ -128,7 +132,7 @@
         self.actions.push(Action::SetTimer { timer, delay });
     }
 
-    /// What the quota rules read besides their own state.
+    /// Returns the inputs of the quota rules that are not part of their own state.
     fn quota_context(&self) -> QuotaContext {
         QuotaContext { now: self.now, fractional_limits: self.balancer.limits_are_fractional(self.now) }
     }
--- a/crates/policy/src/engine/admission.rs
+++ b/crates/policy/src/engine/admission.rs
@@ -1,5 +1,5 @@
-//! The way of a request from its arrival to the decision that it may be forwarded: load shedding, quota window, cap on
-//! concurrent requests.
+//! Admission: takes a request from its arrival to the decision to forward it, through load shedding, the quota window
+//! and the cap on concurrent requests.
 
 use super::Engine;
 use crate::quota::{ConcurrencyCheck, CountKind, CounterCall, CounterReply, WindowCheck};
@@ -13,8 +13,8 @@
         if !self.settings.defines(&arrival) {
             return self.actions.push(Action::Reject { request: id, retry_after: None });
         }
-        self.retry_budget.earn();
-        // Before the deadline by two ticks: a timer may come one late, and the answer takes one.
+        self.retry_budget.deposit();
+        // Fires two ticks before the deadline: the timer may fire one tick late, and sending the answer takes another.
         let delay = arrival.deadline - self.now - self.settings.tick - self.settings.tick;
         self.start_timer(Timer::RequestDeadline(id), delay);
         let is_client_retry = self.quotas.record_arrival(&arrival, self.now);
@@ -26,8 +26,8 @@
         self.requests.insert(id, request);
         let context = self.quota_context();
         self.quotas.roll(context, customer);
-        if self.shedder.sheds(weight, context.fractional_limits, &mut self.random) {
-            // Not for its quota, so without a Retry-After.
+        if self.shedder.should_shed(weight, context.fractional_limits, &mut self.random) {
+            // The request is not rejected because of its quota, so the answer has no Retry-After.
             return self.finish(id, Some(Action::Reject { request: id, retry_after: None }));
         }
         match has_rate {
@@ -70,7 +70,7 @@
         }
         let context = self.quota_context();
         self.quotas.roll(context, call.customer);
-        if !self.quotas.knows(call.customer) {
+        if !self.quotas.has_customer(call.customer) {
             return;
         }
         let reply = self.quotas.record_reply(context, &call, outcome, total);
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Notes in which window an answered call charged its request.
+    /// Records the quota window to which an answered call charged its request.
     fn record_charge(&mut self, call: &CounterCall, reply: CounterReply) {
         if reply == CounterReply::Unavailable {
             return;
@@ -101,18 +101,19 @@
         }
     }
 
-    /// Decides by the counter's reply, or without one, whether a request is within its customer's quota.
+    /// Admits or rejects a request by its customer's quota, using the counter's total if it replied.
     fn decide_window(&mut self, id: RequestId, reply: CounterReply) {
         let context = self.quota_context();
         let Some(request) = self.requests.get(&id) else { return };
         let arrival = &request.arrival;
-        self.quotas.learn_exhaustion(context, arrival, reply);
-        // Drawn also for a request that was answered meanwhile, so that the draws that follow do not depend on it.
-        let pays = self.quotas.forwarding_pays(arrival, reply, &mut self.random);
+        self.quotas.record_exhaustion(context, arrival, reply);
+        // Draws a random number even if the request has been answered in the meantime, so that later draws do not
+        // depend on it.
+        let worth_risk = self.quotas.is_worth_unverified_risk(arrival, reply, &mut self.random);
         if request.answered {
             return;
         }
-        let admitted = self.quotas.decide(context, arrival, reply, pays);
+        let admitted = self.quotas.decide(context, arrival, reply, worth_risk);
         self.quotas.record_decision(arrival, admitted);
         match admitted {
             true => self.check_concurrency(id),
@@ -120,11 +121,12 @@
         }
     }
 
-    /// Decides by the counter's reply, or without one, whether one more concurrent request is allowed.
+    /// Admits or rejects a request by its customer's cap on concurrent requests, using the counter's total if it
+    /// replied.
     fn decide_concurrency(&mut self, id: RequestId, reply: CounterReply) {
         let Some(request) = self.requests.get(&id) else { return };
         let customer = request.arrival.customer;
-        if !self.quotas.knows(customer) {
+        if !self.quotas.has_customer(customer) {
             return;
         }
         match self.quotas.allows_concurrent(&request.arrival, reply) && !request.answered {
@@ -134,7 +136,7 @@
         self.sync_concurrency(customer);
     }
 
-    /// The request may be forwarded.
+    /// Admits a request: takes its concurrency slot, if its plan has a cap, and forwards it.
     fn admit(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         if self.quotas.caps_concurrency(&request.arrival) {
--- a/crates/policy/src/engine/completion.rs
+++ b/crates/policy/src/engine/completion.rs
@@ -1,4 +1,5 @@
-//! From the end of an attempt to the final answer of its request: retries, rejections, and what a request gives back.
+//! Completion: processes the end of an attempt, retries or answers its request, and releases the quota units and the
+//! concurrency slot that the request holds.
 
 use super::Engine;
 use crate::attempt_rules::{may_reject, AttemptRules};
@@ -10,8 +11,8 @@
         let id = result.request;
         let Some(request) = self.requests.get_mut(&id) else { return };
         let attempt = request.attempts.get_mut(result.attempt);
-        let known = attempt.filter(|attempt| attempt.in_flight && attempt.backend == result.backend);
-        let Some(attempt) = known else { return };
+        let matching = attempt.filter(|attempt| attempt.in_flight && attempt.backend == result.backend);
+        let Some(attempt) = matching else { return };
         attempt.in_flight = false;
         attempt.may_have_run = !result.outcome.never_ran();
         let was_stream = attempt.is_stream;
@@ -30,7 +31,7 @@
         signal.into_iter().for_each(|signal| self.shedder.record(signal));
         if answered {
             self.release(id);
-        } else if in_time && self.try_spend_retry(id, result.outcome) {
+        } else if in_time && self.try_withdraw_retry(id, result.outcome) {
             self.forward_or_wait(id);
         } else if self.requests.get(&id).is_some_and(|request| !request.is_in_flight()) {
             self.reject(id);
@@ -40,15 +41,16 @@
         }
     }
 
-    /// Takes a retry from the budget for a request whose attempt ended like this, if it may have one.
-    fn try_spend_retry(&mut self, id: RequestId, outcome: Outcome) -> bool {
-        // Its answer was there and could not be passed on; a second one would meet the same lack of memory.
+    /// Withdraws a retry from the budget if the request may be retried after an attempt with this outcome. Returns
+    /// whether it did.
+    fn try_withdraw_retry(&mut self, id: RequestId, outcome: Outcome) -> bool {
+        // The backend did answer, but there was no memory to relay the response; a retry would hit the same shortage.
         if outcome == Outcome::ResponseDropped {
             return false;
         }
         let Some(request) = self.requests.get(&id) else { return false };
         let rules = AttemptRules::new(&self.settings, self.limits, request, self.now);
-        self.balancer.has_eligible(&rules) && self.retry_budget.try_spend()
+        self.balancer.has_eligible(&rules) && self.retry_budget.try_withdraw()
     }
 
     pub(super) fn on_deadline(&mut self, id: RequestId) {
@@ -58,7 +60,8 @@
         }
     }
 
-    /// Rejects a request, with a Retry-After where that is allowed; fails it where a repeat might do harm.
+    /// Answers a request as rejected, with a Retry-After where the settings allow one, or as failed if repeating it
+    /// might do harm.
     pub(super) fn reject(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
         let class = self.settings.class_of(&request.arrival);
@@ -70,7 +73,8 @@
         self.finish(id, Some(answer));
     }
 
-    /// When the client best comes back: with the next window of its quota.
+    /// Returns the Retry-After for a rejected request: the time until its customer's next quota window, up to the
+    /// configured maximum.
     fn retry_after(&self, request: &Request) -> Option<Micros> {
         let has_rate = self.settings.plan_of(&request.arrival).rate > 0.0;
         if !self.settings.retry_after || !has_rate {
@@ -80,7 +84,8 @@
         Some(next_window.min(self.settings.max_retry_after))
     }
 
-    /// A request has its final answer, or its client has gone; attempts that are in flight are cancelled.
+    /// Marks a request as answered and sends `answer`, which is `None` if the client disconnected. Cancels its attempts
+    /// in flight where the settings allow it, unless the response has started.
     pub(super) fn finish(&mut self, id: RequestId, answer: Option<Action>) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         if !request.answered {
@@ -94,15 +99,16 @@
         self.release(id);
     }
 
-    /// Forgets an answered request once nothing of it is in flight, and gives back what it holds.
+    /// Releases the quota units and the concurrency slot of an answered request without attempts in flight, and removes
+    /// it unless a counter call is pending.
     pub(super) fn release(&mut self, id: RequestId) {
-        let ended = |request: &&mut Request| request.answered && !request.is_in_flight();
-        let Some(request) = self.requests.get_mut(&id).filter(ended) else { return };
+        let is_finished = |request: &&mut Request| request.answered && !request.is_in_flight();
+        let Some(request) = self.requests.get_mut(&id).filter(is_finished) else { return };
         let customer = request.arrival.customer;
         let units = request.arrival.units;
         let held_slot = std::mem::take(&mut request.holds_concurrency_slot);
         let charged_window = request.charged_window.take();
-        // The reply to a call that is under way still needs to know whether the request was forwarded.
+        // The reply to a pending counter call still has to find out whether the request was forwarded.
         if request.pending_counter_calls == 0 {
             self.requests.remove(&id);
         }
@@ -116,7 +122,7 @@
         }
     }
 
-    /// Puts the shared count of a customer's concurrent requests right.
+    /// Corrects the shared count of a customer's concurrent requests if it includes requests that have ended.
     pub(super) fn sync_concurrency(&mut self, customer: CustomerId) {
         let call = self.quotas.sync_concurrency(self.quota_context(), customer);
         self.actions.extend(call);
--- a/crates/policy/src/engine/forwarding.rs
+++ b/crates/policy/src/engine/forwarding.rs
@@ -1,4 +1,5 @@
-//! From admission to the attempts of a request: forwarding, waiting for a backend, and streams.
+//! Forwarding: sends the attempts of admitted requests, queues requests while no backend is available, and commits a
+//! request to the attempt that carries a stream.
 
 use super::Engine;
 use crate::attempt_rules::AttemptRules;
@@ -9,11 +10,11 @@
 use crate::{Action, BackendId, RequestId};
 use std::cmp::Reverse;
 
-/// Waiting requests are ordered by their weight in steps of a millionth.
+/// Number of steps per unit of weight when waiting requests are sorted by weight, which needs an integer key.
 const WEIGHT_STEPS: f64 = 1e6;
 
 impl Engine {
-    /// Sends the next attempt of a request, or has it wait until a backend is free.
+    /// Sends the next attempt of a request, or queues the request until a backend is available.
     pub(super) fn forward_or_wait(&mut self, id: RequestId) {
         if let Some(backend) = self.select_backend(id) {
             return self.forward(id, backend);
@@ -22,25 +23,25 @@
             request.waiting_since = Some(self.now);
             self.wait_queue.push(id);
         }
-        self.watch_wait_queue();
+        self.start_wait_queue_timer();
     }
 
-    /// Sends attempts of waiting requests as far as backends are free, those of most weight first, and rejects those
-    /// that have waited for as long as they may.
+    /// Forwards waiting requests to available backends in descending order of weight, and rejects those that have
+    /// reached their maximum wait.
     pub(super) fn forward_waiting(&mut self) {
         for id in self.take_waiting() {
             if let Some(backend) = self.select_backend(id) {
                 self.forward(id, backend);
-            } else if self.has_waited_enough(id) {
+            } else if self.has_exceeded_max_wait(id) {
                 self.reject(id);
             } else {
                 self.wait_queue.push(id);
             }
         }
-        self.watch_wait_queue();
+        self.start_wait_queue_timer();
     }
 
-    /// The requests that still wait, those of most weight first.
+    /// Removes all requests from the queue and returns those that are still waiting, in descending order of weight.
     fn take_waiting(&mut self) -> Vec<RequestId> {
         let mut waiting = self.wait_queue.take_all();
         waiting.retain(|id| {
@@ -54,14 +55,14 @@
         waiting
     }
 
-    fn has_waited_enough(&self, id: RequestId) -> bool {
+    fn has_exceeded_max_wait(&self, id: RequestId) -> bool {
         self.requests.get(&id).is_some_and(|request| {
             let class = self.settings.class_of(&request.arrival);
-            wait_queue::has_waited_enough(request, class, self.now)
+            wait_queue::has_exceeded_max_wait(request, class, self.now)
         })
     }
 
-    fn watch_wait_queue(&mut self) {
+    fn start_wait_queue_timer(&mut self) {
         if self.wait_queue.claim_timer() {
             self.start_timer(Timer::WaitQueue, POLL_INTERVAL);
         }
@@ -93,7 +94,8 @@
         self.commit_to_attempt(id, attempt);
     }
 
-    /// Commits a request to one of its attempts, a long transfer; others are cancelled.
+    /// Commits a request to one of its attempts, which carries a stream, and cancels its other attempts where the
+    /// settings allow it.
     pub(super) fn commit_to_attempt(&mut self, id: RequestId, attempt: usize) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.committed = true;
--- a/crates/policy/src/engine/snapshot.rs
+++ b/crates/policy/src/engine/snapshot.rs
@@ -1,51 +1,52 @@
-//! The engine's state as operators see it.
+//! Snapshots of the engine's state for operators.
 
 use super::Engine;
 use crate::balancer::Backend;
 use crate::{BackendId, Micros};
 
-/// The state that an engine keeps for one backend.
+/// A snapshot of the state that the engine keeps for one backend.
 #[derive(Debug, Clone)]
 pub struct BackendSnapshot {
     /// The backend.
     pub backend: BackendId,
-    /// It takes new work, as the endpoint list has it.
+    /// Whether the endpoint list has the backend in service.
     pub in_service: bool,
-    /// Attempts in flight, streams aside.
+    /// Number of attempts in flight, excluding streams.
     pub in_flight: f64,
-    /// Streams under way.
+    /// Number of streams in progress.
     pub streams: f64,
     /// The limit on attempts in flight from this gateway.
     pub concurrency_limit: f64,
     /// The smoothed share of attempts that failed.
     pub failure_share: f64,
-    /// The smoothed latency of successful answers.
+    /// The smoothed latency of successful attempts.
     pub latency: Micros,
-    /// Left out: ejected as an outlier, awaiting its trial after that, or paused after it rejected an attempt.
+    /// Whether the backend is left out of selection: ejected as an outlier, awaiting its trial after an ejection, or
+    /// paused after it rejected an attempt.
     pub ejected: bool,
-    /// It has started recently and is given work by slow start.
+    /// Whether the backend has started recently and slow start limits its share of the load.
     pub warming_up: bool,
 }
 
-/// The state of an engine.
+/// A snapshot of the state of an engine.
 #[derive(Debug, Clone)]
 pub struct EngineSnapshot {
-    /// The circuit breaker before the counter is open or half-open.
+    /// Whether the circuit breaker for the counter service is open or half-open.
     pub breaker_open: bool,
     /// The share of requests that query the counter.
     pub counter_query_share: f64,
     /// The share of requests of average weight that load shedding admits.
     pub admitted_share: f64,
-    /// Customers with state.
+    /// Number of customers with state.
     pub customers: usize,
-    /// Requests with state.
+    /// Number of requests with state.
     pub requests: usize,
-    /// Requests that wait for a backend.
+    /// Number of requests that wait for a backend.
     pub waiting_requests: usize,
 }
 
 impl Engine {
-    /// The state of this engine.
+    /// Returns a snapshot of this engine.
     pub fn snapshot(&self) -> EngineSnapshot {
         EngineSnapshot {
             breaker_open: !self.quotas.counter().breaker_is_closed(),
@@ -57,7 +58,7 @@
         }
     }
 
-    /// The state kept for each backend, in the order of their ids.
+    /// Returns a snapshot of each backend, ordered by backend id.
     pub fn backend_snapshots(&self) -> impl Iterator<Item = BackendSnapshot> + '_ {
         let limit_scale = self.balancer.limit_scale(self.now);
         let snapshot = move |(id, backend)| self.backend_snapshot(id, backend, limit_scale);
--- a/crates/policy/src/event.rs
+++ b/crates/policy/src/event.rs
@@ -1,35 +1,35 @@
-//! What happens to an engine.
+//! Events: the inputs of the engine.
 
 use crate::{
     BackendId, ClassId, CounterKey, CustomerId, Endpoint, EndpointListScope, LoadReport, Micros, Outcome,
     PlanId, RequestId, TimerId,
 };
 
-/// A request that came in.
+/// A request that has arrived at this gateway.
 #[derive(Clone, Debug, Default)]
 pub struct Arrival {
-    /// Its id.
+    /// The id of the request.
     pub request: RequestId,
-    /// Its class.
+    /// The class of the request.
     pub class: ClassId,
-    /// Its customer's quota plan.
+    /// The quota plan of the customer.
     pub plan: PlanId,
-    /// Its customer.
+    /// The customer that sent the request.
     pub customer: CustomerId,
-    /// Through how many gateways this customer's requests come.
+    /// Number of gateways over which this customer's requests are spread.
     pub gateway_spread: u32,
-    /// How many of these are taken to serve the customer now, from what this gateway knows of the fleet: the
-    /// customer's quota is divided by this for the local share. 0: `gateway_spread`.
+    /// Number of these gateways that currently serve the customer, by this gateway's view of the fleet. The customer's
+    /// quota is divided by this number for the local share. 0 means `gateway_spread`.
     pub active_gateways: u32,
-    /// When the client gives up.
+    /// The time at which the client gives up.
     pub deadline: Micros,
-    /// Its units.
+    /// The units that the request costs.
     pub units: f64,
-    /// The client submits a request again that was rejected, failed or given up, where clients say so.
+    /// Whether the client marked this request as a retry of one that was rejected, failed or abandoned.
     pub is_client_retry: bool,
 }
 
-/// An attempt that ended.
+/// The result of an attempt.
 #[derive(Clone, Debug)]
 pub struct AttemptResult {
     /// The request.
@@ -38,41 +38,41 @@
     pub attempt: usize,
     /// The backend.
     pub backend: BackendId,
-    /// How it ended.
+    /// The outcome of the attempt.
     pub outcome: Outcome,
-    /// How long it took up to the head of the answer, waits for memory aside.
+    /// The time until the response head arrived, excluding time spent waiting for memory.
     pub elapsed: Micros,
-    /// The request has had its final answer.
+    /// Whether the request has had its final answer.
     pub request_answered: bool,
-    /// The true units, where they are settled afterwards.
+    /// The actual units of the request, where they are settled after it ran.
     pub settled_units: Option<f64>,
     /// The backend's load report.
     pub load_report: LoadReport,
 }
 
-/// Something that happened, which the engine takes into account.
+/// An input to the engine.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Discovery reported endpoints, or failed to.
+    /// Discovery reported endpoints, or its failure.
     EndpointList {
-        /// What the list holds.
+        /// Whether `endpoints` is the complete list, only its changes, or unavailable.
         scope: EndpointListScope,
-        /// Its entries.
+        /// The reported entries.
         endpoints: Vec<Endpoint>,
     },
-    /// A request came in.
+    /// A request arrived.
     RequestArrived(Arrival),
-    /// A timer came due.
+    /// A timer fired.
     TimerFired(TimerId),
-    /// The answer of this attempt has started to flow to the client.
+    /// The response of this attempt has started to reach the client.
     ResponseStarted {
         /// The request.
         request: RequestId,
         /// The index of the attempt.
         attempt: usize,
     },
-    /// The start of the upload that this attempt carries is no longer held and can't be sent again. From here on no
-    /// deadline holds; the transfer ends by itself.
+    /// The start of the upload that this attempt carries is no longer buffered, so the upload can't be sent again. No
+    /// deadline applies from then on; the transfer ends by itself.
     UploadCommitted {
         /// The request.
         request: RequestId,
@@ -81,22 +81,22 @@
     },
     /// The client closed its connection.
     ClientDisconnected(RequestId),
-    /// A health check ended. The engine does not use it yet.
+    /// A health check ended. The engine ignores this event so far.
     HealthChecked {
         /// The backend.
         backend: BackendId,
-        /// How the check ended.
+        /// The outcome of the check.
         outcome: Outcome,
         /// The backend's load report.
         load_report: LoadReport,
     },
     /// A call to the counter ended.
     CounterReplied {
-        /// The name of the number.
+        /// The key of the count.
         key: CounterKey,
-        /// How the call ended.
+        /// The outcome of the call.
         outcome: Outcome,
-        /// The total, where it was answered.
+        /// The new total, if the call succeeded.
         total: f64,
     },
     /// An attempt ended.
--- a/crates/policy/src/ids.rs
+++ b/crates/policy/src/ids.rs
@@ -1,4 +1,4 @@
-//! Identifiers. They carry no meaning beyond equality and order.
+//! Identifier types, with no meaning beyond equality and order.
 
 macro_rules! id {
     ($(#[$doc:meta])* $name:ident, $inner:ty) => {
@@ -8,11 +8,11 @@
     };
 }
 
-id!(/// One request of a client; a client's own retry is another request.
+id!(/// A request of a client. A client's own retry is a separate request with its own id.
     RequestId, u64);
-id!(/// A customer, whose quota all gateways share.
+id!(/// A customer, whose quota is shared by all gateways.
     CustomerId, u64);
-id!(/// A backend; every gateway knows it by the same number.
+id!(/// A backend, which has the same number at every gateway.
     BackendId, u64);
 id!(/// An index into [`Settings::classes`](crate::Settings::classes).
     ClassId, usize);
@@ -22,7 +22,7 @@
     ZoneId, u32);
 id!(/// A group of backends that share which idempotency keys they have seen.
     CellId, u64);
-id!(/// The name of a number that the counter service keeps.
+id!(/// The key of a count on the counter service.
     CounterKey, u64);
-id!(/// A timer, chosen by the engine.
+id!(/// A timer. The engine assigns these ids.
     TimerId, u64);
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,5 +1,7 @@
-//! Every decision of a gateway, as a state machine without I/O: events in, actions out. It has no clock, socket or
-//! thread of its own, so that the real gateway and the simulator's adapter run the same code.
+//! The gateway's decision logic as a sans-I/O state machine: it consumes events and returns actions.
+//!
+//! The crate has no clock, socket or thread of its own, so the real gateway and the simulator's adapter run the same
+//! code.
 
 mod action;
 mod attempt_rules;
--- a/crates/policy/src/location.rs
+++ b/crates/policy/src/location.rs
@@ -1,8 +1,8 @@
-//! Where a backend runs.
+//! The location of a backend.
 
 use crate::{CellId, ZoneId};
 
-/// Where a backend stands, by which it shares idempotency keys with others.
+/// The zone and cell of a backend, which determine the backends with which it shares idempotency keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Location {
     pub(crate) zone: ZoneId,
--- a/crates/policy/src/outcome.rs
+++ b/crates/policy/src/outcome.rs
@@ -1,48 +1,48 @@
-//! How attempts and calls end, and what a backend reports with its answer.
+//! Outcomes of attempts and calls, and the load reports of backends.
 
-/// How an attempt, a health check or a call to the counter ended.
+/// The outcome of an attempt, a health check or a call to the counter service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Answered with success.
+    /// The other side answered with success.
     Success,
-    /// Answered with an error; it may have run.
+    /// The other side answered with an error; the attempt may have run.
     ServerError,
-    /// Rejected before it ran, as the other side is at capacity.
+    /// The other side rejected the attempt before running it, because it is at capacity.
     Rejected,
-    /// No answer in time; it may have run.
+    /// No answer arrived in time; the attempt may have run.
     Timeout,
-    /// No connection was made.
+    /// No connection could be established.
     ConnectFailed,
-    /// The connection broke; it may have run.
+    /// The connection broke; the attempt may have run.
     ConnectionReset,
-    /// Cancelled; it may have run.
+    /// The attempt was cancelled; it may have run.
     Cancelled,
-    /// Never sent.
+    /// The attempt was never sent.
     NotSent,
-    /// It ran and was answered with success, but there was no memory to pass the answer on.
+    /// The attempt ran and was answered with success, but there was no memory to relay the response.
     ResponseDropped,
 }
 
 impl Outcome {
-    /// The outcome proves that the attempt never ran.
+    /// Returns whether the outcome proves that the attempt never ran.
     pub fn never_ran(self) -> bool {
         matches!(self, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent)
     }
 }
 
-/// What a backend reported of its load, as far as it did.
+/// A backend's load report; figures that the backend did not report are `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Requests being handled.
+    /// Number of requests that the backend is handling.
     pub in_flight: Option<f64>,
-    /// Requests waiting.
+    /// Number of requests that wait at the backend.
     pub queued: Option<f64>,
-    /// Share of its cores in use.
+    /// Share of the backend's cores in use.
     pub utilization: Option<f64>,
 }
 
 impl LoadReport {
-    /// The share of its cores in use, at least 1 where requests wait.
+    /// Returns the share of cores in use, raised to at least 1 if requests are waiting.
     pub fn load(&self) -> Option<f64> {
         let requests_wait = self.queued.is_some_and(|queued| queued > 0.0);
         let utilization = self.utilization?;
--- a/crates/policy/src/quota.rs
+++ b/crates/policy/src/quota.rs
@@ -1,9 +1,12 @@
-//! Quotas: whether a request is within its customer's quota, by the count that all gateways share on the counter
-//! service, or by this gateway's local share where the counter does not answer.
+//! Quotas: decides whether a request is within its customer's quota, by the count that all gateways share on the
+//! counter service, or by this gateway's local share of the quota if the counter does not answer.
 //!
-//! One rule a file: [`window`] the quota windows, [`query_share`] which requests query the counter, [`counter`] the
-//! calls to it behind the [`circuit_breaker`], [`local_bucket`] the local token bucket, [`ceiling`] the hard ceiling,
-//! [`unverified`] when a request may be forwarded unverified, and [`concurrency`] the cap on concurrent requests.
+//! A request is forwarded *unverified* if it is admitted without a total from the counter.
+//!
+//! Each rule has its own module: [`window`] defines the quota windows, [`query_share`] which requests query the
+//! counter, [`counter`] the calls to the counter service behind the [`circuit_breaker`], [`local_bucket`] the local
+//! token bucket, [`ceiling`] the hard ceiling, [`unverified`] when a request may be forwarded unverified, and
+//! [`concurrency`] the cap on concurrent requests.
 
 mod ceiling;
 mod circuit_breaker;
@@ -27,53 +30,53 @@
 use unverified::LEARNING_SPAN_UNITS;
 use window::QuotaWindow;
 
-/// How long the state of an idle customer is kept; many customers come only once.
+/// How long the state of an idle customer is kept. It is bounded because many customers send only one request.
 pub(crate) const CUSTOMER_RETENTION: Micros = Micros::from_secs(30);
-/// Units from which a difference between two counts is real, not rounding.
-const MIN_UNITS: f64 = 0.5;
+/// Smallest difference between two counts, in units or requests, that is not treated as a rounding error.
+const MIN_DIFFERENCE_UNITS: f64 = 0.5;
 
-/// What the quota rules read besides their own state.
+/// Inputs of the quota rules that are not part of their own state.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct QuotaContext {
     pub(crate) now: Micros,
-    /// Concurrency limits are fractional ([`Balancer::limits_are_fractional`](crate::balancer::Balancer)): this gateway
-    /// meets a customer seldom.
+    /// Whether concurrency limits are fractional ([`Balancer::limits_are_fractional`](crate::balancer::Balancer)). If
+    /// they are, this gateway rarely sees the same customer.
     pub(crate) fractional_limits: bool,
 }
 
-/// What the shared counter says of a request.
+/// The counter service's reply for a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum CounterReply {
-    /// The total, this request included.
+    /// The shared total, including this request.
     Total(f64),
     /// The counter was not called or did not answer.
     Unavailable,
 }
 
-/// What became of a request that was to be charged to its customer's window.
+/// The result of [`Quotas::check_window`].
 pub(crate) enum WindowCheck {
-    /// The window is known to be full: calling the counter could only confirm it.
+    /// The window is known to be full, so calling the counter could only confirm it.
     KnownFull,
-    /// The counter is called; the reply decides.
+    /// The counter is called, and its reply decides.
     Queried(Action),
-    /// The counter is not called: decide without it.
+    /// The counter is not called, so the request is decided without it.
     NotQueried,
 }
 
-/// The quotas of all customers, as far as this gateway knows them.
+/// This gateway's view of the quotas of all customers.
 #[derive(Debug, Default)]
 pub(crate) struct Quotas {
     plans: Vec<QuotaPlan>,
     max_request_units: f64,
     customers: BTreeMap<CustomerId, Customer>,
     counter: CounterClient,
-    /// Of the units forwarded, those reported to the counter.
+    /// The share of forwarded units that was reported to the counter.
     reported_units: DecayingRatio,
-    /// By plan, of the units of first submissions for which the counter was queried, of customers whose burst share is below one request, those that
-    /// found the quota used up.
+    /// For each plan, the share of units that found the quota exhausted. The sample is the first submissions for which
+    /// the counter was queried, of customers whose burst share is below one request.
     exhausted_units: Vec<DecayingRatio>,
-    /// Average of what forwarding a request beyond the quota costs.
-    average_stake: f64,
+    /// Average cost of forwarding a request beyond the quota.
+    average_overrun_cost: f64,
 }
 
 impl Quotas {
@@ -88,48 +91,48 @@
         }
     }
 
-    /// The calls to the counter, for snapshots and timers.
+    /// Returns the counter client.
     pub(crate) fn counter(&self) -> &CounterClient {
         &self.counter
     }
 
-    /// Takes a call to the counter that was answered.
+    /// Removes and returns the oldest pending counter call for a key, for which a reply has arrived.
     pub(crate) fn take_call(&mut self, key: CounterKey) -> Option<CounterCall> {
         self.counter.take_call(key)
     }
 
-    /// How many customers have state.
+    /// Returns the number of customers with state.
     pub(crate) fn customer_count(&self) -> usize {
         self.customers.len()
     }
 
-    /// Whether this customer has state.
-    pub(crate) fn knows(&self, customer: CustomerId) -> bool {
+    /// Returns whether this customer has state.
+    pub(crate) fn has_customer(&self, customer: CustomerId) -> bool {
         self.customers.contains_key(&customer)
     }
 
-    /// Forgets customers that have long been idle.
+    /// Drops the state of customers that have been idle for longer than [`CUSTOMER_RETENTION`].
     pub(crate) fn forget_idle(&mut self, now: Micros) {
         let is_active = |customer: &Customer| customer.last_seen + CUSTOMER_RETENTION >= now;
         self.customers.retain(|_, customer| is_active(customer) || customer.concurrent > 0.0);
     }
 
-    /// Notes a request of a customer; whether it is a retry of the client, as the client says or as it looks like a
-    /// request that was rejected a moment ago.
+    /// Records the arrival of a request. Returns whether it is a client retry: either the client marked it as one, or
+    /// it resembles a request that was rejected recently.
     pub(crate) fn record_arrival(&mut self, arrival: &Arrival, now: Micros) -> bool {
         let customer = self.customers.entry(arrival.customer).or_default();
         customer.record_arrival(arrival, now);
         arrival.is_client_retry || customer.resembles_rejection(arrival, now)
     }
 
-    /// Notes the rejection of a request.
+    /// Records that a request was rejected.
     pub(crate) fn record_rejection(&mut self, arrival: &Arrival, now: Micros) {
         if let Some(customer) = self.customers.get_mut(&arrival.customer) {
             customer.record_rejection(arrival, now);
         }
     }
 
-    /// Charges a request to its customer's window: the ordinary path, before anything is forwarded.
+    /// Charges a request to its customer's quota window before anything is forwarded.
     pub(crate) fn check_window(
         &mut self,
         context: QuotaContext,
@@ -137,15 +140,16 @@
         weight: f64,
         random: &mut fastrand::Rng,
     ) -> WindowCheck {
-        let stake = weight * self.plan(arrival.plan).over_quota_cost * arrival.units;
-        update_average(&mut self.average_stake, stake, SLOW_SAMPLE_WEIGHT);
+        let overrun_cost = weight * self.plan(arrival.plan).over_quota_cost * arrival.units;
+        update_average(&mut self.average_overrun_cost, overrun_cost, SLOW_SAMPLE_WEIGHT);
         let Some(customer) = self.customers.get(&arrival.customer) else { return WindowCheck::NotQueried };
         let total = customer.window.count.known_total();
         let is_full = self.remaining_units(context, arrival.customer, total) < arrival.units;
         if is_full && self.counter.breaker_is_closed() && total > 0.0 {
             return WindowCheck::KnownFull;
         }
-        let exponent = query_share::exponent(arrival.is_client_retry, stake, self.average_stake);
+        let exponent =
+            query_share::exponent(arrival.is_client_retry, overrun_cost, self.average_overrun_cost);
         if !self.counter.samples_query(exponent, random)
             || !self.begin_counter_call(context, arrival.customer)
         {
@@ -155,47 +159,50 @@
         call.map_or(WindowCheck::NotQueried, WindowCheck::Queried)
     }
 
-    /// Whether a request may be forwarded, by the counter's reply or without one; `pays`: forwarding it unverified is
-    /// worth the risk.
+    /// Returns whether a request may be forwarded, by the counter's total if there is one. Otherwise `worth_risk`
+    /// states whether forwarding it unverified is worth the risk
+    /// ([`is_worth_unverified_risk`](Quotas::is_worth_unverified_risk)).
     pub(crate) fn decide(
         &mut self,
         context: QuotaContext,
         arrival: &Arrival,
         reply: CounterReply,
-        pays: bool,
+        worth_risk: bool,
     ) -> bool {
         match reply {
             CounterReply::Total(total) => self.decide_verified(context, arrival, total),
-            CounterReply::Unavailable => pays && self.decide_unverified(context, arrival),
+            CounterReply::Unavailable => worth_risk && self.decide_unverified(context, arrival),
         }
     }
 
-    /// Notes whether a request that passed through `decide` was admitted.
+    /// Records whether [`decide`](Quotas::decide) admitted a request.
     pub(crate) fn record_decision(&mut self, arrival: &Arrival, admitted: bool) {
         let forwarded = if admitted { arrival.units } else { 0.0 };
         self.reported_units.add(0.0, forwarded);
     }
 
-    /// Decides by a total of the shared count.
+    /// Returns whether a request may be forwarded, given the total of the shared count.
     fn decide_verified(&mut self, context: QuotaContext, arrival: &Arrival, total: f64) -> bool {
         if self.remaining_units(context, arrival.customer, total) < 0.0 {
             return false;
         }
         let window = QuotaWindow::of(self.plan(arrival.plan));
         let beyond_window = if total <= window.units { 0.0 } else { arrival.units };
-        // Under a ceiling a debt is paid off first, so this passes also where nothing is beyond the window.
+        // Under a ceiling the allowance may be below zero and must first recover, so this check is also made if nothing
+        // is beyond the window.
         self.take_ceiling_allowance(context, arrival, beyond_window)
     }
 
-    /// Settles the true units of a request afterwards.
+    /// Corrects the customer's count to the actual units of a request, which are known only after it ran.
     pub(crate) fn settle_units(&mut self, arrival: &Arrival, true_units: f64) {
         if let Some(customer) = self.customers.get_mut(&arrival.customer) {
             customer.window.count.unsent += true_units - arrival.units;
         }
     }
 
-    /// Gives units back that were charged to a window and not used. What is too little to be of use to anybody goes
-    /// back with the next call.
+    /// Refunds units that were charged to a window and not used. If less than one unit is left in the window even then,
+    /// the refund is of no use to any gateway yet and is sent with the next call instead. The same applies while the
+    /// counter's breaker is open.
     pub(crate) fn refund(
         &mut self,
         context: QuotaContext,
@@ -219,16 +226,16 @@
         None
     }
 
-    /// Sends what is still to be counted in a customer's window, where that is worth a call.
+    /// Sends a customer's unsent units to the counter if there are more than [`MIN_DIFFERENCE_UNITS`] of them.
     pub(crate) fn flush_window(&mut self, context: QuotaContext, id: CustomerId) -> Option<Action> {
         let unsent = self.customers.get(&id).map_or(0.0, |customer| customer.window.count.unsent);
-        if unsent <= MIN_UNITS {
+        if unsent <= MIN_DIFFERENCE_UNITS {
             return None;
         }
         self.post_amount(context, CountKind::Window, id, 0.0)
     }
 
-    /// How long until the customer's present window ends.
+    /// Returns the time until the customer's current window ends.
     pub(crate) fn time_to_next_window(&self, now: Micros, arrival: &Arrival) -> Micros {
         let window = QuotaWindow::of(self.plan(arrival.plan));
         window::position(now, arrival.customer, window.length).remaining
@@ -238,7 +245,7 @@
         &self.plans[plan.0]
     }
 
-    /// Brings a customer's counts to the present window and concurrency period.
+    /// Advances a customer's counts to the current quota window and concurrency period.
     pub(crate) fn roll(&mut self, context: QuotaContext, id: CustomerId) {
         if let Some(customer) = self.customers.get_mut(&id) {
             let plan = &self.plans[customer.plan.0];
@@ -247,27 +254,29 @@
         }
     }
 
-    /// Units that the customer's quota has left in this window, by a total of the shared count.
+    /// Returns the units left of the customer's quota in the current window, given a total of the shared count.
     fn remaining_units(&self, context: QuotaContext, id: CustomerId, total: f64) -> f64 {
         let Some(customer) = self.customers.get(&id) else { return 0.0 };
         let window = QuotaWindow::of(self.plan(customer.plan));
         let position = window::position(context.now, id, window.length);
         let extra_refill_share = if context.fractional_limits {
-            window::unfollowed_refill_share(self.counter.query_share())
+            window::unobserved_refill_share(self.counter.query_share())
         } else {
             0.0
         };
         customer.window.allowance_so_far(&window, &position, extra_refill_share) - total
     }
 
-    /// The counter says nothing of this customer for now: the local bucket alone decides.
-    fn counter_is_silent(&self, id: CustomerId) -> bool {
+    /// Returns whether the counter can't be queried for this customer at present: it is disabled, or its circuit
+    /// breaker or the customer's own is open or half-open.
+    fn counter_is_unavailable(&self, id: CustomerId) -> bool {
         let customer_breaker_open =
             self.customers.get(&id).is_some_and(|customer| customer.breaker.is_open());
         !self.counter.is_enabled() || !self.counter.breaker_is_closed() || customer_breaker_open
     }
 
-    /// The customer is spread over so many gateways that a gateway's share of its burst holds less than one request.
+    /// Returns whether the customer is spread over so many gateways that one gateway's share of its burst is smaller
+    /// than the largest request.
     fn burst_share_is_below_one_request(&self, id: CustomerId) -> bool {
         let Some(customer) = self.customers.get(&id) else { return false };
         customer.gateway_spread * self.max_request_units > self.plan(customer.plan).burst
--- a/crates/policy/src/quota/ceiling.rs
+++ b/crates/policy/src/quota/ceiling.rs
@@ -1,15 +1,16 @@
-//! The hard ceiling of a plan.
+//! The hard ceiling of a plan, above its quota.
 
 use crate::quota::{QuotaContext, Quotas};
 use crate::Arrival;
 
 impl Quotas {
-    /// Takes units from this gateway's share of what the ceiling holds above the quota; always granted where there is
-    /// no ceiling.
+    /// Takes units from this gateway's share of the ceiling's headroom above the quota. Returns whether they were
+    /// granted, which they always are under a plan without a ceiling.
     ///
-    /// It applies wherever the plain window does not account for what is forwarded: unverified, by what this gateway
-    /// believes was left over, or beyond the quota. Plain windows stay within the quota, so the sum over all gateways
-    /// keeps the ceiling whatever each believes. Too strict for a gateway that has all of a customer's traffic.
+    /// The allowance is needed wherever the plain window does not account for the forwarded units: when they are
+    /// forwarded unverified, by this gateway's estimate of the carried-over units, or beyond the quota. Plain windows
+    /// stay within the quota, so the sum over all gateways stays below the ceiling whatever each gateway assumes. The
+    /// share is too small for a gateway that receives all of a customer's traffic.
     pub(super) fn take_ceiling_allowance(
         &mut self,
         context: QuotaContext,
--- a/crates/policy/src/quota/concurrency.rs
+++ b/crates/policy/src/quota/concurrency.rs
@@ -1,27 +1,28 @@
 //! The cap on a customer's concurrent requests, counted over all gateways.
 
-use crate::quota::{CountKind, CounterReply, QuotaContext, Quotas, MIN_UNITS};
+use crate::quota::{CountKind, CounterReply, QuotaContext, Quotas, MIN_DIFFERENCE_UNITS};
 use crate::{Action, Arrival, CustomerId, Micros};
 
-/// The count starts anew with each period, so that what a killed gateway held is forgotten.
+/// Length of the period after which the count starts again, so that requests of a gateway that was killed are dropped
+/// from it.
 pub(super) const CONCURRENCY_PERIOD: Micros = Micros::from_secs(5);
 
-/// The exponent of the query share. At the average stake a window has 1, so calls that charge windows go first while the
-/// counter bears few.
+/// Exponent of the query share for calls that count concurrent requests. Calls that charge windows have an exponent of
+/// 1 at the average overrun cost, so they take precedence while the counter can handle only a few calls.
 const QUERY_EXPONENT: f64 = 3.0;
 
-/// What became of a request that was to be counted among its customer's concurrent ones.
+/// The result of [`Quotas::check_concurrency`].
 pub(crate) enum ConcurrencyCheck {
     /// The plan has no cap.
     Uncapped,
-    /// The counter is called; the reply decides.
+    /// The counter is called, and its reply decides.
     Queried(Action),
-    /// The counter is not called: decide without it.
+    /// The counter is not called, so the request is decided without it.
     NotQueried,
 }
 
 impl Quotas {
-    /// Counts a request among its customer's concurrent ones.
+    /// Adds a request to the shared count of its customer's concurrent requests, if its plan caps them.
     pub(crate) fn check_concurrency(
         &mut self,
         context: QuotaContext,
@@ -39,18 +40,19 @@
         call.map_or(ConcurrencyCheck::NotQueried, ConcurrencyCheck::Queried)
     }
 
-    /// Whether the request's plan caps concurrent requests.
+    /// Returns whether the request's plan caps concurrent requests.
     pub(crate) fn caps_concurrency(&self, arrival: &Arrival) -> bool {
         self.plan(arrival.plan).max_concurrent > 0.0
     }
 
-    /// Whether one more concurrent request is allowed, by the counter's total or by this gateway's share of the cap.
+    /// Returns whether one more concurrent request is allowed, by the counter's total or else by this gateway's share
+    /// of the cap.
     pub(crate) fn allows_concurrent(&self, arrival: &Arrival, reply: CounterReply) -> bool {
         let cap = self.plan(arrival.plan).max_concurrent;
         match reply {
             CounterReply::Total(total) => total <= cap,
             CounterReply::Unavailable
-                if arrival.is_client_retry && !self.counter_is_silent(arrival.customer) =>
+                if arrival.is_client_retry && !self.counter_is_unavailable(arrival.customer) =>
             {
                 false
             }
@@ -61,26 +63,26 @@
         }
     }
 
-    /// A request of the customer is forwarded.
+    /// Records that a request of the customer was admitted.
     pub(crate) fn add_concurrent(&mut self, id: CustomerId) {
         if let Some(customer) = self.customers.get_mut(&id) {
             customer.concurrent += 1.0;
         }
     }
 
-    /// A request of the customer has ended.
+    /// Records that an admitted request of the customer has ended.
     pub(crate) fn remove_concurrent(&mut self, id: CustomerId) {
         if let Some(customer) = self.customers.get_mut(&id) {
             customer.concurrent -= 1.0;
         }
     }
 
-    /// Puts the shared count right where it holds more than runs here.
+    /// Corrects the shared count if it includes more requests of this gateway than are running here.
     pub(crate) fn sync_concurrency(&mut self, context: QuotaContext, id: CustomerId) -> Option<Action> {
         self.roll(context, id);
         let customer = self.customers.get_mut(&id)?;
         let surplus = customer.concurrency.own_amount() - customer.concurrent;
-        if surplus <= MIN_UNITS || !self.counter.breaker_is_closed() {
+        if surplus <= MIN_DIFFERENCE_UNITS || !self.counter.breaker_is_closed() {
             return None;
         }
         customer.concurrency.unsent -= surplus;
--- a/crates/policy/src/quota/counter.rs
+++ b/crates/policy/src/quota/counter.rs
@@ -1,4 +1,4 @@
-//! Calls to the counter service: adding to a customer's shared counts and learning their totals.
+//! Calls to the counter service, which add to a customer's shared counts and return their totals.
 
 use crate::hash::mix_bits;
 use crate::quota::circuit_breaker::CircuitBreaker;
@@ -6,41 +6,41 @@
 use crate::quota::query_share::QueryShare;
 use crate::quota::shared_count::{CarriedAmount, SharedCount};
 use crate::quota::window::QuotaWindow;
-use crate::quota::{CounterReply, QuotaContext, Quotas, MIN_UNITS};
+use crate::quota::{CounterReply, QuotaContext, Quotas, MIN_DIFFERENCE_UNITS};
 use crate::{Action, Arrival, CounterKey, CustomerId, Micros, Outcome, RequestId, Settings};
 use std::collections::{BTreeMap, VecDeque};
 
-/// The longest time for which the counter service keeps a number.
+/// Maximum time for which the counter service keeps a count.
 const MAX_KEY_LIFETIME: Micros = Micros::from_secs(60);
-/// An answer after more than this share of the time-out is slow.
+/// An answer is slow if it takes more than this share of the call's timeout.
 const SLOW_ANSWER_SHARE: f64 = 0.5;
 
-/// Which of a customer's shared counts.
+/// The kind of a customer's shared count.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CountKind {
-    /// Units in the present quota window.
+    /// Units in the current quota window.
     Window,
     /// Concurrent requests.
     Concurrency,
 }
 
-/// One call whose reply is still to come.
+/// A counter call whose reply is pending.
 #[derive(Debug)]
 pub(crate) struct CounterCall {
     pub(crate) kind: CountKind,
     pub(crate) customer: CustomerId,
-    /// The window or concurrency period to which the call adds.
+    /// The index of the quota window or concurrency period to which the call adds.
     pub(crate) period: u64,
-    /// The request that waits for the reply.
+    /// The request that waits for the reply, if any.
     pub(crate) request: Option<RequestId>,
     called_at: Micros,
     amount: f64,
     carried: CarriedAmount,
-    /// It is the probe of a half-open circuit breaker.
+    /// Whether the call is the probe of a half-open circuit breaker.
     is_probe: bool,
 }
 
-/// The way to the counter service: calls under way, the breaker and the share of requests that query.
+/// The client of the counter service: its pending calls, its circuit breaker and the share of requests that query it.
 #[derive(Debug, Default)]
 pub(crate) struct CounterClient {
     enabled: bool,
@@ -48,7 +48,7 @@
     breaker: CircuitBreaker,
     query_share: QueryShare,
     last_failed_customer: Option<CustomerId>,
-    /// By the name of the number; replies for one name come in the order of the calls.
+    /// Pending calls by counter key. Replies for one key arrive in the order of the calls.
     calls: BTreeMap<CounterKey, VecDeque<CounterCall>>,
 }
 
@@ -62,33 +62,34 @@
         }
     }
 
-    /// Whether there is a counter service.
+    /// Returns whether the counter service may be called at all.
     pub(super) fn is_enabled(&self) -> bool {
         self.enabled
     }
 
-    /// The circuit breaker before the counter is closed.
+    /// Returns whether the circuit breaker for the counter service is closed.
     pub(crate) fn breaker_is_closed(&self) -> bool {
         !self.breaker.is_open()
     }
 
-    /// The share of requests that query the counter.
+    /// Returns the share of requests that query the counter.
     pub(crate) fn query_share(&self) -> f64 {
         self.query_share.get()
     }
 
-    /// How many names have calls under way.
+    /// Returns the number of keys with pending calls.
     pub(crate) fn pending_keys(&self) -> usize {
         self.calls.len()
     }
 
-    /// Whether a request is to query the counter. Guards against a counter that this fleet's own calls drown: while
-    /// calls fail, only a part of the requests query. Where the breaker is open, each may become its probe.
+    /// Draws whether a request queries the counter. While calls fail, only a share of the requests query it, so that
+    /// the fleet's own calls do not overload the counter. While the breaker is open, every request may become its
+    /// probe.
     pub(super) fn samples_query(&self, exponent: f64, random: &mut fastrand::Rng) -> bool {
         self.breaker.is_open() || random.f64() < self.query_share.get().powf(exponent)
     }
 
-    /// The oldest call under way for a name.
+    /// Removes and returns the oldest pending call for a key.
     pub(super) fn take_call(&mut self, key: CounterKey) -> Option<CounterCall> {
         let calls = self.calls.get_mut(&key)?;
         let call = calls.pop_front()?;
@@ -105,9 +106,9 @@
         self.breaker.record_success(call.is_probe);
     }
 
-    /// Guards against one hot name that fills its part of the counter: failures of the same customer in a row count
-    /// once for this breaker, while the customer's own breaker opens. An answer that is malformed or cut short says
-    /// nothing of the counter's load.
+    /// Records a failed call. One hot key can overload its part of the counter, so consecutive failures of the same
+    /// customer count only once for this breaker, while the customer's own breaker opens. Only timeouts and rejections
+    /// decrease the query share: a malformed or truncated answer is no evidence of load on the counter.
     fn record_failure(&mut self, call: &CounterCall, outcome: Outcome, now: Micros) {
         if matches!(outcome, Outcome::Timeout | Outcome::Rejected) {
             self.query_share.record_failure(now, call.called_at);
@@ -120,7 +121,8 @@
 }
 
 impl Quotas {
-    /// Whether both breakers allow a call for this customer. If so they count it as made: a call must follow.
+    /// Returns whether the counter's breaker and the customer's own both allow a call. If so, both record it as made,
+    /// so the caller must make the call.
     pub(super) fn begin_counter_call(&mut self, context: QuotaContext, id: CustomerId) -> bool {
         let Some(customer) = self.customers.get_mut(&id) else { return false };
         let counter = &mut self.counter;
@@ -134,8 +136,8 @@
         allowed
     }
 
-    /// Adds a request to one of its customer's counts, with what is still unsent. Only after
-    /// [`begin_counter_call`](Quotas::begin_counter_call) allowed it.
+    /// Adds a request to one of its customer's counts, together with the amount still unsent. Must be called only after
+    /// [`begin_counter_call`](Quotas::begin_counter_call) allowed the call.
     pub(super) fn post_request(
         &mut self,
         context: QuotaContext,
@@ -149,7 +151,8 @@
         self.post(context, kind, arrival.customer, Some(arrival.request), amount)
     }
 
-    /// Adds an amount to one of a customer's counts, with what is still unsent; nothing where both cancel out.
+    /// Adds an amount to one of a customer's counts, together with the amount still unsent. Makes no call if the two
+    /// cancel out.
     pub(super) fn post_amount(
         &mut self,
         context: QuotaContext,
@@ -199,7 +202,7 @@
         Some(Action::AddToCounter { key, amount, lifetime })
     }
 
-    /// Takes the counter's answer to a call, or its failure, into the customer's counts.
+    /// Applies the outcome of a counter call to the customer's counts.
     pub(crate) fn record_reply(
         &mut self,
         context: QuotaContext,
@@ -236,13 +239,13 @@
             count.end_call(call.carried);
             count.counted += call.amount;
             if is_window {
-                // Lost units can be admitted a second time elsewhere, so they are taken from the ceiling allowance.
+                // Other gateways can admit lost units a second time, so they are taken from the ceiling allowance.
                 allowance.level -= recover_lost_units(count, total);
             }
             count.last_total = total;
-            // What was forwarded unverified is counted now: the plain window holds it, as far as there is quota left,
-            // and from here on others reckon with it. Guards against rejecting under a ceiling, call after call, what
-            // is within the quota.
+            // The total now includes the units forwarded unverified, so other gateways take them into account. If the
+            // total is within the plain window, the window accounts for them and the ceiling allowance gets them back.
+            // Otherwise requests within the quota would be rejected under a ceiling, call after call.
             if is_window && total <= QuotaWindow::of(plan).units {
                 allowance.put_back(call.carried.unverified);
             }
@@ -273,11 +276,11 @@
     }
 }
 
-/// Guards against a counter that lost its memory: a total below this gateway's own amounts proves it. What was lost is
-/// sent again, and reckoned with here until it has been.
+/// Returns the units that the counter has lost: a total below this gateway's own counted amount proves a loss. The lost
+/// units are marked as unsent, so that they are sent again and included in the known total until then.
 fn recover_lost_units(count: &mut SharedCount, total: f64) -> f64 {
     let lost = count.counted - total;
-    if lost <= MIN_UNITS {
+    if lost <= MIN_DIFFERENCE_UNITS {
         return 0.0;
     }
     count.unsent += lost;
@@ -285,7 +288,7 @@
     lost
 }
 
-/// The name under which all gateways add to a customer's count of one period.
+/// Returns the key under which all gateways add to a customer's count for one period.
 fn counter_key(customer: CustomerId, kind: CountKind, period: u64) -> CounterKey {
     let kind_bit = match kind {
         CountKind::Window => 0,
--- a/crates/policy/src/quota/customer.rs
+++ b/crates/policy/src/quota/customer.rs
@@ -1,4 +1,4 @@
-//! The state of one customer.
+//! The quota state of one customer at this gateway.
 
 use crate::quota::circuit_breaker::CircuitBreaker;
 use crate::quota::concurrency::CONCURRENCY_PERIOD;
@@ -9,14 +9,14 @@
 use crate::token_bucket::TokenBucket;
 use crate::{Arrival, ClassId, CustomerId, Micros, PlanId, QuotaPlan};
 
-/// How long after a rejection a request like it counts as its retry.
+/// Time after a rejection during which a request that resembles the rejected one is treated as its retry.
 const CLIENT_RETRY_RECOGNITION_TIME: Micros = Micros::from_secs(1);
 /// Weight of the newest window in the history of windows.
 const WINDOW_WEIGHT: f64 = 0.3;
-/// Share of its quota that a customer is taken to use before a total of it was known.
-const DEFAULT_USAGE: f64 = 0.3;
+/// Share of its quota that a customer is assumed to use until one of its totals is known.
+const DEFAULT_USAGE_SHARE: f64 = 0.3;
 
-/// The request that was rejected last, by which its retry is recognised.
+/// The most recent rejected request, used to recognise its retry.
 #[derive(Debug)]
 struct Rejection {
     class: ClassId,
@@ -24,17 +24,17 @@
     at: Micros,
 }
 
-/// Averages over past windows.
+/// Exponentially weighted averages over past quota windows.
 #[derive(Debug, Default)]
 pub(super) struct UsageHistory {
-    /// Units that this gateway counted in a window.
+    /// Units per window that the counter counted for this gateway.
     own_units: f64,
-    /// Units of all gateways in a window.
+    /// Units per window of all gateways.
     total_units: f64,
 }
 
 impl UsageHistory {
-    /// Whether a window with a known total has passed.
+    /// Returns whether a window with a known total has been recorded.
     pub(super) fn is_known(&self) -> bool {
         self.total_units > 0.0
     }
@@ -45,40 +45,40 @@
         update_average(&mut self.total_units, count.last_total, weight);
     }
 
-    /// The share of the customer's units that came through this gateway.
+    /// Returns the share of the customer's units that passed through this gateway.
     pub(super) fn own_share(&self) -> Option<f64> {
         self.is_known().then(|| (self.own_units / self.total_units).clamp(0.0, 1.0))
     }
 
-    /// The share of its quota that the customer used.
+    /// Returns the share of its quota that the customer uses.
     pub(super) fn usage(&self, window: &QuotaWindow) -> f64 {
         if self.is_known() {
             self.total_units / window.units
         } else {
-            DEFAULT_USAGE
+            DEFAULT_USAGE_SHARE
         }
     }
 }
 
-/// The state of one customer.
+/// The quota state of one customer.
 #[derive(Debug, Default)]
 pub(super) struct Customer {
     pub(super) plan: PlanId,
-    /// Through how many gateways its requests come.
+    /// Number of gateways over which the customer's requests are spread.
     pub(super) gateway_spread: f64,
-    /// How many of them are taken to serve it now.
+    /// Number of these gateways that are assumed to serve the customer at present.
     pub(super) active_gateways: f64,
     pub(super) window: CustomerWindow,
     pub(super) history: UsageHistory,
     /// This gateway's side of the shared count of concurrent requests.
     pub(super) concurrency: SharedCount,
-    /// Its concurrent requests here, where its plan caps them.
+    /// Number of the customer's concurrent requests at this gateway, if its plan caps them.
     pub(super) concurrent: f64,
-    /// Decides while the counter does not answer.
+    /// The token bucket that decides while the counter does not answer.
     pub(super) local_bucket: Option<TokenBucket>,
-    /// What may be forwarded unverified or beyond the window under a hard ceiling.
+    /// Units that may be forwarded unverified or beyond the window under a hard ceiling.
     pub(super) ceiling_allowance: TokenBucket,
-    /// Stops calls for this customer alone.
+    /// The circuit breaker for counter calls of this customer alone.
     pub(super) breaker: CircuitBreaker,
     pub(super) last_seen: Micros,
     last_rejection: Option<Rejection>,
@@ -88,7 +88,7 @@
     pub(super) fn record_arrival(&mut self, arrival: &Arrival, now: Micros) {
         let is_new = self.last_seen == Micros(0);
         if is_new {
-            // Starts empty: an earlier process of this gateway may have spent it.
+            // The allowance starts empty, because an earlier process of this gateway may have spent it.
             self.ceiling_allowance.updated_at = now;
         }
         self.plan = arrival.plan;
@@ -100,7 +100,8 @@
         self.last_seen = now;
     }
 
-    /// Where clients do not mark retries: a request like the one that was rejected here a moment ago.
+    /// Returns whether a request resembles the one last rejected at this gateway, which identifies retries of clients
+    /// that do not mark them.
     pub(super) fn resembles_rejection(&self, arrival: &Arrival, now: Micros) -> bool {
         self.last_rejection.as_ref().is_some_and(|rejection| {
             rejection.class == arrival.class
@@ -113,7 +114,7 @@
         self.last_rejection = Some(Rejection { class: arrival.class, units: arrival.units, at: now });
     }
 
-    /// This gateway's side of one of the customer's shared counts.
+    /// Returns this gateway's side of one of the customer's shared counts.
     pub(super) fn count(&mut self, kind: CountKind) -> &mut SharedCount {
         match kind {
             CountKind::Window => &mut self.window.count,
@@ -121,7 +122,7 @@
         }
     }
 
-    /// Brings the window up to date.
+    /// Advances to the current quota window.
     pub(super) fn roll_window(&mut self, id: CustomerId, plan: &QuotaPlan, now: Micros) {
         let has_rate = plan.rate > 0.0;
         let (length, quota_units) = match has_rate.then(|| QuotaWindow::of(plan)) {
@@ -138,7 +139,7 @@
         self.window = self.window.next(index, quota_units, plan.burst, self.gateway_spread);
     }
 
-    /// Brings the count of concurrent requests to the present period, and counts what runs anew there.
+    /// Advances the count of concurrent requests to the current period, in which the running requests are counted anew.
     pub(super) fn roll_concurrency(&mut self, id: CustomerId, now: Micros) {
         let period = window::position(now, id, CONCURRENCY_PERIOD).index;
         if self.concurrency.period != period {
--- a/crates/policy/src/quota/query_share.rs
+++ b/crates/policy/src/quota/query_share.rs
@@ -1,41 +1,43 @@
-//! Which requests query the counter. The share is learned by additive increase and multiplicative decrease, by which
-//! gateways come to equal shares of a counter that can't bear all calls, without telling each other.
+//! Controls the share of requests that query the counter, by additive increase and multiplicative decrease (AIMD).
+//!
+//! With AIMD, gateways converge to equal shares of a counter that can't handle all calls, without exchanging messages.
 
 use crate::Micros;
 
-/// What a failed call leaves of the share.
+/// Factor applied to the share after a failed call.
 const FAILURE_FACTOR: f64 = 0.8;
-/// What a slow answer leaves of the share.
+/// Factor applied to the share after a slow answer.
 const SLOW_FACTOR: f64 = 0.97;
-/// What another answer adds, at least.
+/// Minimum increase of the share for each answer that is not slow.
 const INCREASE_PER_ANSWER: f64 = 0.005;
-/// What answers add in a second, at least. Guards against a gateway with few calls that takes a minute to query for all
-/// requests again.
+/// Minimum increase of the share per second while answers arrive. Without it, a gateway with few calls would take a
+/// minute to query for all requests again.
 const INCREASE_PER_SECOND: f64 = 0.08;
-/// The longest time that one answer makes up for, in seconds.
+/// Maximum time since the previous answer for which one answer increases the share.
 const MAX_ANSWER_GAP_SECONDS: f64 = 1.0;
-/// The share is never below this.
+/// Lower bound of the share.
 const MIN_SHARE: f64 = 0.05;
-/// The share with which querying begins again once a probe was answered.
+/// Minimum share after the probe of an open circuit breaker was answered.
 const SHARE_AFTER_PROBE: f64 = 0.5;
-/// So many gateways may begin with a share of 1. Guards against a fleet that starts together and drowns the counter.
-const GATEWAYS_AT_FULL_SHARE: f64 = 50.0;
+/// Largest fleet whose gateways start with a share of 1. In larger fleets the initial share is lower, so that gateways
+/// that start together do not overload the counter.
+const MAX_GATEWAYS_AT_FULL_SHARE: f64 = 50.0;
 
-/// The exponent of the share for retries of clients: they query last, as they were rejected a moment ago.
+/// Exponent of the share for client retries, which have low precedence because they were rejected recently.
 pub(super) const CLIENT_RETRY_EXPONENT: f64 = 3.0;
 /// Bounds of the exponent for other requests.
 const MIN_EXPONENT: f64 = 0.25;
 const MAX_EXPONENT: f64 = 4.0;
-/// The smallest stake that is divided by.
-const MIN_STAKE: f64 = 1e-9;
+/// Lower bound of the overrun cost, so that no division by zero occurs.
+const MIN_OVERRUN_COST: f64 = 1e-9;
 
-/// The exponent of the share for a request: while only a part of the requests query, those go first that cost much
-/// when guessed wrong.
-pub(super) fn exponent(is_client_retry: bool, stake: f64, average_stake: f64) -> f64 {
+/// Returns the exponent of the share for a request. While only a share of the requests query the counter, those that
+/// would cost most if wrongly admitted take precedence.
+pub(super) fn exponent(is_client_retry: bool, overrun_cost: f64, average_overrun_cost: f64) -> f64 {
     if is_client_retry {
         CLIENT_RETRY_EXPONENT
     } else {
-        (average_stake / stake.max(MIN_STAKE)).clamp(MIN_EXPONENT, MAX_EXPONENT)
+        (average_overrun_cost / overrun_cost.max(MIN_OVERRUN_COST)).clamp(MIN_EXPONENT, MAX_EXPONENT)
     }
 }
 
@@ -49,17 +51,17 @@
 
 impl QueryShare {
     pub(super) fn new(gateway_count: u32) -> QueryShare {
-        let share = (GATEWAYS_AT_FULL_SHARE / f64::from(gateway_count.max(1))).min(1.0);
+        let share = (MAX_GATEWAYS_AT_FULL_SHARE / f64::from(gateway_count.max(1))).min(1.0);
         QueryShare { share, ..QueryShare::default() }
     }
 
-    /// The share.
+    /// Returns the share.
     pub(super) fn get(&self) -> f64 {
         self.share
     }
 
-    /// A call got no answer, or was rejected. One decrease answers for all calls that were under way then: a moment's
-    /// jam is not met by querying next to nothing.
+    /// Records a call that timed out or was rejected. The share is decreased only once for all calls that were in
+    /// flight at that time, so that brief congestion does not reduce it to almost nothing.
     pub(super) fn record_failure(&mut self, now: Micros, called_at: Micros) {
         if called_at >= self.decreased_at {
             self.share = (self.share * FAILURE_FACTOR).max(MIN_SHARE);
@@ -67,7 +69,7 @@
         }
     }
 
-    /// A call was answered; `is_probe`: by a counter that was taken to be down.
+    /// Records an answered call. `is_probe` states that the call was the probe of an open circuit breaker.
     pub(super) fn record_answer(&mut self, now: Micros, is_slow: bool, is_probe: bool) {
         let gap = (now - self.answered_at).as_secs_f64().min(MAX_ANSWER_GAP_SECONDS);
         self.answered_at = now;
--- a/crates/policy/src/quota/query_share/tests.rs
+++ b/crates/policy/src/quota/query_share/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_gateway_with_few_calls_queries_for_all_requests_again_within_seconds() {
+fn query_share_recovers_within_seconds_at_low_call_rate() {
     let mut share = QueryShare::new(100);
     assert_eq!(share.get(), 0.5);
     (1..=4).for_each(|i| share.record_failure(Micros(i * 100_000), Micros(i * 100_000)));
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn calls_that_fail_together_decrease_the_share_once() {
+fn simultaneous_call_failures_decrease_share_once() {
     let mut share = QueryShare::new(1);
     (1..=9).for_each(|i| share.record_failure(Micros(1_000_000 + i), Micros(900_000)));
     assert_eq!(share.get(), FAILURE_FACTOR);
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -1,19 +1,20 @@
-//! The settings of an engine.
+//! The settings of an engine and their validation.
 
 use crate::{Arrival, Micros, ZoneId};
 
-/// Whether a request may run more than once.
+/// Whether and how a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Running it again has no further effect.
+    /// Running the request again has no further effect.
     Idempotent,
-    /// It carries an idempotency key: backends of one deduplication scope drop a repeat within the window.
+    /// The request carries an idempotency key: the backends of one deduplication scope drop a repeat within the
+    /// deduplication window.
     Keyed,
-    /// It must not run twice.
+    /// The request must not run twice.
     NonIdempotent,
 }
 
-/// The backends that share which idempotency keys they have seen.
+/// The set of backends that share the idempotency keys they have seen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
     /// Every backend.
@@ -27,44 +28,44 @@
 /// A class of requests.
 #[derive(Clone, Debug)]
 pub struct RequestClass {
-    /// Latency objective: an answer within this time earns the full priority weight.
+    /// Latency objective: an answer within this time counts with the full priority weight.
     pub latency_objective: Micros,
-    /// How long a client waits, all attempts together.
+    /// How long a client waits for the answer, over all attempts.
     pub deadline: Micros,
-    /// What a request is worth against those of other classes.
+    /// Weight of a request relative to requests of other classes.
     pub priority_weight: f64,
-    /// The share of the weight that an answer after the latency objective earns. The engine does not read it.
+    /// Share of the weight with which an answer after the latency objective counts. The engine does not read it.
     pub late_weight_share: f64,
-    /// Whether it may run again.
+    /// Whether requests of this class may run more than once.
     pub idempotency: Idempotency,
-    /// Which backends drop repeats, where it carries an idempotency key.
+    /// Which backends drop repeats of a request that carries an idempotency key.
     pub deduplication_scope: DeduplicationScope,
-    /// How long they drop them.
+    /// How long these backends drop repeats.
     pub deduplication_window: Micros,
-    /// The answer comes as a stream.
+    /// Whether the response is a stream.
     pub streaming: bool,
 }
 
-/// A quota plan. Its limits hold for each customer over all gateways together.
+/// A quota plan. Its limits apply to each customer across all gateways.
 #[derive(Clone, Debug)]
 pub struct QuotaPlan {
-    /// Units a second; 0: no quota on the rate.
+    /// Rate of the quota in units per second; 0 means no quota on the rate.
     pub rate: f64,
     /// Depth of the quota's token bucket, in units.
     pub burst: f64,
-    /// Concurrent requests of a customer, those that wait for a backend included; 0: no such cap.
+    /// Maximum number of a customer's concurrent requests, including those that wait for a backend; 0 means no cap.
     pub max_concurrent: f64,
-    /// Multiplies the priority weight of the class.
+    /// Factor applied to the priority weight of the class.
     pub weight_multiplier: f64,
-    /// Share of the weight that is earned beyond the quota.
+    /// Share of the weight that is gained by forwarding a request beyond the quota.
     pub over_quota_value: f64,
-    /// Share of the weight that is lost by forwarding beyond the quota.
+    /// Share of the weight that is lost by forwarding a request beyond the quota.
     pub over_quota_cost: f64,
-    /// Units a second of the hard ceiling; 0: none.
+    /// Rate of the hard ceiling in units per second; 0 means no ceiling.
     pub ceiling_rate: f64,
     /// Depth of the ceiling's token bucket, in units.
     pub ceiling_burst: f64,
-    /// How far that bucket may fall below zero, in units.
+    /// How far the ceiling's token bucket may fall below zero, in units.
     pub ceiling_slack: f64,
 }
 
@@ -81,68 +82,70 @@
     pub classes: Vec<RequestClass>,
     /// The quota plans.
     pub plans: Vec<QuotaPlan>,
-    /// The most attempts for one request.
+    /// Maximum number of attempts per request.
     pub max_attempts: usize,
-    /// Two attempts of one request may be in flight together.
+    /// Whether two attempts of one request may be in flight at the same time.
     pub hedging: bool,
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     pub cancellation: bool,
-    /// Backends may be asked for their health. The engine does not do so yet.
+    /// Whether backends may be sent health checks. The engine does not send any yet.
     pub health_checks: bool,
-    /// Clients receive a Retry-After.
+    /// Whether rejected clients receive a Retry-After.
     pub retry_after: bool,
-    /// The longest Retry-After that a client follows.
+    /// The longest Retry-After that clients respect.
     pub max_retry_after: Micros,
-    /// The shared counter of quotas may be called.
+    /// Whether the shared quota counter may be called.
     pub quota_counter: bool,
-    /// A call to the counter ends unanswered after this.
+    /// Timeout of a call to the counter.
     pub counter_timeout: Micros,
-    /// The largest request, in units.
+    /// Size of the largest request, in units.
     pub max_request_units: f64,
-    /// Changes of the endpoint list must be subscribed to.
+    /// Whether the engine must subscribe to changes of the endpoint list.
     pub endpoint_subscription: bool,
-    /// How long past its deadline a final answer still counts. The engine does not read it.
+    /// Time after a request's deadline during which a final answer still counts. The engine does not read it.
     pub answer_slack: Micros,
-    /// Share of its capacity that a backend has when it starts.
+    /// Share of its full capacity that a backend has when it starts.
     pub cold_capacity_share: f64,
-    /// A backend has its full capacity this long after its start.
+    /// Time after its start at which a backend has its full capacity.
     pub warm_up_time: Micros,
-    /// A cold backend is overloaded by this multiple of its present capacity, sustained for `overload_after`.
+    /// Multiple of its current capacity that overloads a cold backend when sustained for `overload_after`.
     pub overload_multiple: f64,
-    /// How long the load has to last that overloads a cold backend. The engine does not read it.
+    /// How long the load must last to overload a cold backend. The engine does not read it.
     pub overload_after: Micros,
-    /// The shortest time between two calls of the engine.
+    /// Minimum time between two calls of the engine.
     pub tick: Micros,
 }
 
-/// Settings that make no sense.
+/// The reason why settings are invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SettingsError {
-    /// There are no gateways, or the index of this one is not below their number.
+    /// The number of gateways is 0, or this gateway's index is not below it.
     Gateways,
-    /// No attempt is allowed.
+    /// The maximum number of attempts is 0.
     MaxAttempts,
-    /// A number on backends or units is negative or not finite.
+    /// The cold capacity share, the overload multiple or the maximum request units is negative or not finite.
     BackendNumbers,
-    /// A class has a negative weight or no deadline.
+    /// A class has a weight that is negative or not finite, or no deadline.
     Class,
-    /// A plan has a negative number.
+    /// A plan has a number that is negative or not finite.
     PlanNumbers,
-    /// A plan has a rate and no burst.
+    /// A plan has a rate without a burst, or a ceiling without a burst.
     PlanBurst,
 }
 
 impl std::fmt::Display for SettingsError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(match self {
-            SettingsError::Gateways => "gateways: expected at least one, and this one's number below it",
+            SettingsError::Gateways => {
+                "gateways: expected at least 1, and the index of this gateway below their number"
+            }
             SettingsError::MaxAttempts => "max_attempts: expected at least 1",
             SettingsError::BackendNumbers => {
-                "cold_from, fall_multiple, most_units: expected numbers of 0 or more"
+                "cold_from, fall_multiple, most_units: expected finite numbers of 0 or more"
             }
-            SettingsError::Class => "class: expected a worth of 0 or more and a deadline above 0",
-            SettingsError::PlanNumbers => "plan: expected numbers of 0 or more",
-            SettingsError::PlanBurst => "plan: expected a burst above 0 where there is a rate",
+            SettingsError::Class => "class: expected a finite worth of 0 or more and a deadline above 0",
+            SettingsError::PlanNumbers => "plan: expected finite numbers of 0 or more",
+            SettingsError::PlanBurst => "plan: expected a burst above 0 for a rate or ceiling rate above 0",
         })
     }
 }
@@ -150,7 +153,7 @@
 impl std::error::Error for SettingsError {}
 
 impl Settings {
-    /// Whether these settings make sense.
+    /// Returns an error if these settings are invalid.
     pub fn check(&self) -> Result<(), SettingsError> {
         if self.gateway_count == 0 || self.gateway_index >= self.gateway_count {
             return Err(SettingsError::Gateways);
@@ -170,22 +173,22 @@
 }
 
 impl Settings {
-    /// Whether the class and the plan of a request are among these settings.
+    /// Returns whether these settings contain the class and the plan of a request.
     pub(crate) fn defines(&self, arrival: &Arrival) -> bool {
         arrival.class.0 < self.classes.len() && arrival.plan.0 < self.plans.len()
     }
 
-    /// The class of a request.
+    /// Returns the class of a request.
     pub(crate) fn class_of(&self, arrival: &Arrival) -> &RequestClass {
         &self.classes[arrival.class.0]
     }
 
-    /// The quota plan of a request's customer.
+    /// Returns the quota plan of a request's customer.
     pub(crate) fn plan_of(&self, arrival: &Arrival) -> &QuotaPlan {
         &self.plans[arrival.plan.0]
     }
 
-    /// What a request is worth against others.
+    /// Returns the weight of a request relative to others.
     pub(crate) fn weight_of(&self, arrival: &Arrival) -> f64 {
         self.class_of(arrival).priority_weight * self.plan_of(arrival).weight_multiplier
     }
@@ -200,7 +203,7 @@
 }
 
 impl QuotaPlan {
-    /// Whether this plan has a hard ceiling.
+    /// Returns whether this plan has a hard ceiling.
     pub fn has_ceiling(&self) -> bool {
         self.ceiling_rate > 0.0
     }
@@ -221,7 +224,7 @@
     }
 }
 
-/// A finite number of 0 or more.
+/// Returns whether a value is finite and not negative.
 fn is_valid_amount(value: f64) -> bool {
     value.is_finite() && value >= 0.0
 }
--- a/crates/policy/src/smoothing.rs
+++ b/crates/policy/src/smoothing.rs
@@ -1,18 +1,18 @@
-//! Smoothed figures: exponentially weighted averages, ratios and rates.
+//! Smoothing of samples: exponentially weighted averages, decaying ratios and decaying rates.
 
 use crate::Micros;
 
 /// Weight of the newest sample in averages over the attempts at one backend.
 pub(crate) const SAMPLE_WEIGHT: f64 = 0.1;
-/// Weight of the newest sample in averages over all requests of a gateway.
+/// Weight of the newest sample in averages over all requests at a gateway.
 pub(crate) const SLOW_SAMPLE_WEIGHT: f64 = SAMPLE_WEIGHT / 3.0;
 
-/// Moves an average towards a sample by a weight.
+/// Updates an exponentially weighted average with a sample of the given weight.
 pub(crate) fn update_average(average: &mut f64, sample: f64, weight: f64) {
     *average += weight * (sample - *average);
 }
 
-/// Moves an average of positive samples towards a sample; the first sample is taken whole.
+/// Updates an exponentially weighted average of positive samples. The first sample becomes the average.
 pub(crate) fn update_positive_average(average: &mut f64, sample: f64, weight: f64) {
     if *average == 0.0 {
         *average = sample;
@@ -21,11 +21,11 @@
     }
 }
 
-/// A ratio of two sums of recent samples: both are halved whenever the whole grows past a span.
+/// The ratio of two sums of recent samples. Both sums are halved whenever `total` exceeds `span`.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct DecayingRatio {
     part: f64,
-    whole: f64,
+    total: f64,
     span: f64,
 }
 
@@ -35,42 +35,42 @@
     }
 
     /// Adds to both sums.
-    pub(crate) fn add(&mut self, part: f64, whole: f64) {
+    pub(crate) fn add(&mut self, part: f64, total: f64) {
         self.part += part;
-        self.whole += whole;
-        if self.whole > self.span {
+        self.total += total;
+        if self.total > self.span {
             self.part /= 2.0;
-            self.whole /= 2.0;
+            self.total /= 2.0;
         }
     }
 
-    /// The ratio, or a default before anything was added to the whole.
+    /// Returns the ratio, or a default until something was added to the total.
     pub(crate) fn ratio_or(&self, default: f64) -> f64 {
-        if self.whole > 0.0 {
-            self.part / self.whole
+        if self.total > 0.0 {
+            self.part / self.total
         } else {
             default
         }
     }
 
-    /// The ratio as if so much had been added to the whole before.
-    pub(crate) fn ratio_with_prior(&self, prior_whole: f64) -> f64 {
-        self.part / (self.whole + prior_whole)
+    /// Returns the ratio that results if the total also included `prior_total`.
+    pub(crate) fn ratio_with_prior(&self, prior_total: f64) -> f64 {
+        self.part / (self.total + prior_total)
     }
 }
 
-/// A rate in units a second over the last moments, which decays exponentially.
+/// An exponentially decaying rate of recent units per second.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct DecayingRate {
     units: f64,
     updated_at: Micros,
 }
 
-/// Time constant of the decay, in seconds.
+/// Time constant of the decay.
 const RATE_SPAN_SECONDS: f64 = 2.0;
 
 impl DecayingRate {
-    /// Units a second.
+    /// Returns the rate in units per second.
     pub(crate) fn per_second(&self, now: Micros) -> f64 {
         let elapsed = (now - self.updated_at).as_secs_f64();
         self.units / RATE_SPAN_SECONDS * (-elapsed / RATE_SPAN_SECONDS).exp()
--- a/crates/policy/src/time.rs
+++ b/crates/policy/src/time.rs
@@ -1,4 +1,4 @@
-//! Time as the engine sees it.
+//! Points in time and time spans in microseconds.
 
 use std::ops::{Add, Sub};
 
@@ -7,22 +7,22 @@
 pub struct Micros(pub u64);
 
 impl Micros {
-    /// A span of whole milliseconds.
+    /// Creates a span of the given number of milliseconds.
     pub const fn from_millis(millis: u64) -> Micros {
         Micros(millis * 1_000)
     }
 
-    /// A span of whole seconds.
+    /// Creates a span of the given number of seconds.
     pub const fn from_secs(seconds: u64) -> Micros {
         Micros(seconds * 1_000_000)
     }
 
-    /// The span in seconds.
+    /// Returns the span in seconds.
     pub fn as_secs_f64(self) -> f64 {
         self.0 as f64 / 1e6
     }
 
-    /// The span scaled by `factor`, never below zero.
+    /// Returns the span scaled by `factor`, never below zero.
     pub fn mul_f64(self, factor: f64) -> Micros {
         Micros((self.0 as f64 * factor).max(0.0) as u64)
     }
@@ -39,7 +39,7 @@
 impl Sub for Micros {
     type Output = Micros;
 
-    /// Saturates at zero.
+    /// Subtracts, saturating at zero.
     fn sub(self, other: Micros) -> Micros {
         Micros(self.0.saturating_sub(other.0))
     }
--- a/crates/policy/src/timers.rs
+++ b/crates/policy/src/timers.rs
@@ -1,22 +1,22 @@
-//! The timers that an engine has set.
+//! The engine's timers.
 
 use crate::{RequestId, TimerId};
 use std::collections::BTreeMap;
 
-/// What a timer is for.
+/// The purpose of a timer.
 #[derive(Debug, Clone, Copy)]
 pub(crate) enum Timer {
-    /// A request must have its final answer.
+    /// A request must get its final answer now.
     RequestDeadline(RequestId),
-    /// Requests that wait for a backend are tried again.
+    /// Retry backend selection for the requests that wait for a backend.
     WaitQueue,
-    /// The subscription to the endpoint list is made again.
+    /// Subscribe to the endpoint list again.
     Resubscribe,
-    /// Customers that have long been idle are forgotten.
+    /// Drop the state of idle customers.
     Sweep,
 }
 
-/// The timers that are set.
+/// The timers that are set and have not fired.
 #[derive(Debug, Default)]
 pub(crate) struct Timers {
     pending: BTreeMap<TimerId, Timer>,
@@ -24,7 +24,7 @@
 }
 
 impl Timers {
-    /// Notes a timer and gives it an id.
+    /// Registers a timer and returns its new id.
     pub(crate) fn register(&mut self, timer: Timer) -> TimerId {
         self.last_id += 1;
         let id = TimerId(self.last_id);
@@ -32,12 +32,12 @@
         id
     }
 
-    /// What a timer that fired is for.
+    /// Removes a timer that fired and returns its purpose.
     pub(crate) fn take(&mut self, id: TimerId) -> Option<Timer> {
         self.pending.remove(&id)
     }
 
-    /// How many are set.
+    /// Returns the number of timers that are set.
     pub(crate) fn len(&self) -> usize {
         self.pending.len()
     }
--- a/crates/policy/src/wait_queue.rs
+++ b/crates/policy/src/wait_queue.rs
@@ -1,18 +1,18 @@
-//! Requests that wait for a backend.
+//! The queue of requests that wait for a backend.
 
 use crate::request::Request;
 use crate::{Micros, RequestClass, RequestId};
 
-/// The longest wait, as a share of the latency objective.
+/// Maximum wait, as a share of the latency objective.
 const MAX_WAIT_SHARE: f64 = 0.3;
-/// How often waiting requests are tried again.
+/// Interval at which backend selection is retried for waiting requests.
 pub(crate) const POLL_INTERVAL: Micros = Micros::from_millis(10);
 
-/// The requests that wait, and whether a timer runs for them.
+/// The waiting requests, and whether their poll timer is running.
 #[derive(Debug, Default)]
 pub(crate) struct WaitQueue {
     requests: Vec<RequestId>,
-    timer_runs: bool,
+    timer_running: bool,
 }
 
 impl WaitQueue {
@@ -28,26 +28,26 @@
         self.requests.is_empty()
     }
 
-    /// Takes all requests out.
+    /// Removes and returns all requests.
     pub(crate) fn take_all(&mut self) -> Vec<RequestId> {
         std::mem::take(&mut self.requests)
     }
 
-    /// Whether a timer is to be started, which then counts as running.
+    /// Returns whether the caller must start the poll timer, and if so marks it as running.
     pub(crate) fn claim_timer(&mut self) -> bool {
-        let needed = !self.requests.is_empty() && !self.timer_runs;
-        self.timer_runs |= needed;
+        let needed = !self.requests.is_empty() && !self.timer_running;
+        self.timer_running |= needed;
         needed
     }
 
-    /// The timer fired.
+    /// Marks the poll timer as no longer running.
     pub(crate) fn timer_fired(&mut self) {
-        self.timer_runs = false;
+        self.timer_running = false;
     }
 }
 
-/// Whether a request has waited for as long as it may.
-pub(crate) fn has_waited_enough(request: &Request, class: &RequestClass, now: Micros) -> bool {
+/// Returns whether a request has reached its maximum wait.
+pub(crate) fn has_exceeded_max_wait(request: &Request, class: &RequestClass, now: Micros) -> bool {
     let max_wait = class.latency_objective.mul_f64(MAX_WAIT_SHARE);
     request.waiting_since.is_some_and(|since| now >= since + max_wait)
 }
