--- a/crates/policy/src/attempt_times.rs
+++ b/crates/policy/src/attempt_times.rs
@@ -34,8 +34,8 @@
     }
 }
 
-/// Returns whether an attempt that may have run can be repeated at any backend. This excludes streams, for
-/// which the response can't be chosen among several attempts.
+/// Returns whether an attempt that may have run can be repeated at any backend. This excludes streams, for which
+/// the response can't be chosen among several attempts.
 fn can_retry_anywhere(class: &RequestClass) -> bool {
     let any_backend = match class.idempotency {
         Idempotency::Idempotent => true,
--- a/crates/policy/src/engine.rs
+++ b/crates/policy/src/engine.rs
@@ -66,8 +66,8 @@
         Ok(engine)
     }
 
-    /// Returns the number of tracked items: backends, customers, requests, counter keys, timers and queued requests. It
-    /// falls again when traffic does.
+    /// Returns the number of tracked items: backends, customers, requests, counter keys with pending calls, timers
+    /// and queued requests. It falls again when traffic does.
     pub fn tracked_items(&self) -> usize {
         let tracked = self.balancer.backend_count() + self.quotas.customer_count() + self.requests.len();
         tracked + self.quotas.counter().pending_keys() + self.timers.len() + self.wait_queue.len()
--- a/crates/policy/src/engine/completion.rs
+++ b/crates/policy/src/engine/completion.rs
@@ -54,8 +54,8 @@
     }
 
     pub(super) fn on_deadline(&mut self, id: RequestId) {
-        let is_open = |request: &Request| !request.answered && !request.committed;
-        if self.requests.get(&id).is_some_and(is_open) {
+        let awaits_answer = |request: &Request| !request.answered && !request.committed;
+        if self.requests.get(&id).is_some_and(awaits_answer) {
             self.reject(id);
         }
     }
--- a/crates/policy/src/load_shedding.rs
+++ b/crates/policy/src/load_shedding.rs
@@ -1,4 +1,4 @@
-//! Load shedding: rejects requests at random before they reach a backend. The probability rises with recent overload
+//! Load shedding: rejects requests at random before they are forwarded. The probability rises with recent overload
 //! signals and is highest for requests of low weight.
 //!
 //! Concurrency limits can't prevent overload when a gateway has too few attempts in flight for the limits to bound
--- a/crates/policy/src/quota.rs
+++ b/crates/policy/src/quota.rs
@@ -32,7 +32,7 @@
 
 /// How long the state of an idle customer is kept. It is bounded because many customers send only one request.
 pub(crate) const CUSTOMER_RETENTION: Micros = Micros::from_secs(30);
-/// Smallest difference between two counts, in units or requests, that is not treated as a rounding error.
+/// A difference between two counts, in units or requests, is treated as a rounding error unless it exceeds this value.
 const MIN_DIFFERENCE_UNITS: f64 = 0.5;
 
 /// Inputs of the quota rules that are not part of their own state.
--- a/crates/policy/src/quota/counter.rs
+++ b/crates/policy/src/quota/counter.rs
@@ -82,9 +82,9 @@
         self.calls.len()
     }
 
-    /// Draws whether a request queries the counter. While calls fail, only a share of the requests query it, so that
-    /// the fleet's own calls do not overload the counter. While the breaker is open, every request may become its
-    /// probe.
+    /// Decides at random whether a request queries the counter. While calls fail, only a share of the requests query
+    /// it, so that the fleet's own calls do not overload the counter. While the breaker is open, every request may
+    /// become its probe.
     pub(super) fn samples_query(&self, exponent: f64, random: &mut fastrand::Rng) -> bool {
         self.breaker.is_open() || random.f64() < self.query_share.get().powf(exponent)
     }
@@ -177,7 +177,7 @@
     ) -> Option<Action> {
         let customer = self.customers.get_mut(&id)?;
         let plan = &self.plans[customer.plan.0];
-        let probes = self.counter.breaker.is_probing() || customer.breaker.is_probing();
+        let is_probing = self.counter.breaker.is_probing() || customer.breaker.is_probing();
         let count = customer.count(kind);
         let period = count.period;
         let carried = count.start_call();
@@ -195,7 +195,7 @@
             called_at: context.now,
             amount,
             carried,
-            is_probe: request.is_some() && probes,
+            is_probe: request.is_some() && is_probing,
         };
         self.counter.calls.entry(key).or_default().push_back(call);
         let lifetime = (period_length + period_length).min(MAX_KEY_LIFETIME);
--- a/crates/policy/src/quota/unverified.rs
+++ b/crates/policy/src/quota/unverified.rs
@@ -56,10 +56,10 @@
             && self.take_local(context, arrival)
     }
 
-    /// Draws whether forwarding a request unverified is worth the risk. The probability falls with the share of units
-    /// of the same plan that found the quota exhausted and with the net loss of a request beyond the quota, but is at
-    /// least this gateway's share of the burst, in requests. The draw is skipped for a customer with a known total in
-    /// this window, because that total decides.
+    /// Decides at random whether forwarding a request unverified is worth the risk. The probability falls with the
+    /// share of units of the same plan that found the quota exhausted and with the net loss of a request beyond the
+    /// quota, but is at least this gateway's share of the burst, in requests. The draw is skipped for a customer with a
+    /// known total in this window, because that total decides.
     ///
     /// [`take_local`](Quotas::take_local) grants at least one request at each gateway. Without this rule, the grants of
     /// a customer's many gateways would add up to many times its burst. It may reject a request whose quota is not
