--- a/crates/policy/src/quota/counter.rs
+++ b/crates/policy/src/quota/counter.rs
@@ -177,7 +177,7 @@
     ) -> Option<Action> {
         let customer = self.customers.get_mut(&id)?;
         let plan = &self.plans[customer.plan.0];
-        let is_probing = self.counter.breaker.is_probing() || customer.breaker.is_probing();
+        let probe_in_flight = self.counter.breaker.is_probing() || customer.breaker.is_probing();
         let count = customer.count(kind);
         let period = count.period;
         let carried = count.start_call();
@@ -195,7 +195,7 @@
             called_at: context.now,
             amount,
             carried,
-            is_probe: request.is_some() && is_probing,
+            is_probe: request.is_some() && probe_in_flight,
         };
         self.counter.calls.entry(key).or_default().push_back(call);
         let lifetime = (period_length + period_length).min(MAX_KEY_LIFETIME);
