--- a/crates/policy/src/balancer.rs
+++ b/crates/policy/src/balancer.rs
@@ -1,11 +1,17 @@
-//! The choice of a backend for each attempt, and what is learned of backends from how attempts end.
+//! Selects a backend for each attempt and updates backend state from the results of attempts.
 //!
-//! A backend is *eligible* for a request if an attempt there is safe and slow start allows it, *available* if it is neither
-//! left out nor in its trial, and a *candidate* if it is both and below its concurrency limit.
+//! A backend is *eligible* for a request if it is in service, an attempt there is safe and slow start allows it. It is
+//! *available* if it is neither excluded nor busy with its trial attempt. It is a *candidate* if it is both eligible and
+//! available, and below its concurrency limit.
 //!
-//! One rule a file: [`subset`] which backends this gateway uses, [`selection`] which of them gets an attempt,
-//! [`concurrency_limit`] how many attempts one may have in flight, [`outlier_detection`] which ones are ejected, and
-//! [`slow_start`] what one gets that has just started. [`endpoint_list`] takes the endpoint list over.
+//! Each submodule implements one rule:
+//!
+//! - [`subset`]: which backends this gateway uses;
+//! - [`selection`]: which of them gets an attempt;
+//! - [`concurrency_limit`]: how many attempts one backend may have in flight;
+//! - [`outlier_detection`]: which backends are ejected;
+//! - [`slow_start`]: how much work a backend gets that has just started;
+//! - [`endpoint_list`]: how updates of the endpoint list are applied.
 
 mod backend;
 mod backends_health;
@@ -15,7 +21,7 @@
 mod selection;
 mod slow_start;
 mod subset;
-mod turns;
+mod time_slots;
 
 pub(crate) use backend::Backend;
 
@@ -26,12 +32,12 @@
 use slow_start::SlowStartSettings;
 use std::collections::BTreeMap;
 
-/// An answer is late that would miss this share of the latency objective if it took longer by the margin.
+/// An answer is late if its latency plus [`LATE_MARGIN_LATENCIES`] exceeds this share of the latency objective.
 const LATE_OBJECTIVE_SHARE: f64 = 0.85;
-/// The margin, in usual latencies of the backend.
+/// Safety margin added to the latency of an answer, as a multiple of the backend's average latency.
 const LATE_MARGIN_LATENCIES: u64 = 2;
 
-/// What the balancer reads of the settings.
+/// The settings that the balancer uses.
 #[derive(Clone, Debug, Default)]
 struct BalancerSettings {
     gateway_count: u32,
@@ -41,26 +47,26 @@
     slow_start: SlowStartSettings,
 }
 
-/// The backends, as far as this gateway knows them.
+/// The backends known to this gateway, with the state that selection needs.
 #[derive(Debug, Default)]
 pub(crate) struct Balancer {
     settings: BalancerSettings,
     backends: BTreeMap<BackendId, Backend>,
-    /// The backends in service, in an order that all gateways share.
+    /// The backends in service, ordered by id, so that all gateways have the same order.
     ring: Vec<BackendId>,
-    /// Attempts in flight at all backends, streams aside.
+    /// Attempts in flight at all backends, excluding streams.
     in_flight: f64,
-    /// Units forwarded.
+    /// Rate of forwarded units.
     forwarded: DecayingRate,
     health: BackendsHealth,
 }
 
-/// What the end of an attempt says of the load on the backends.
+/// What the result of an attempt indicates about the load on the backends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LoadSignal {
-    /// The backend bears its work.
+    /// The backend keeps up with its work.
     Normal,
-    /// The backend, or all of them, has too much work.
+    /// This backend, or the backends in general, have too much work.
     Overloaded,
 }
 
@@ -76,27 +82,29 @@
         Balancer { settings, ..Balancer::default() }
     }
 
-    /// The backends with state, by id.
+    /// Iterates over the backends that have state, in order of id.
     pub(crate) fn backends(&self) -> impl Iterator<Item = (BackendId, &Backend)> {
         self.backends.iter().map(|(&id, backend)| (id, backend))
     }
 
-    /// How many backends have state.
+    /// Returns the number of backends that have state.
     pub(crate) fn backend_count(&self) -> usize {
         self.backends.len()
     }
 
-    /// Attempts succeed in time nearly everywhere: a backend that fails has a fault of its own.
+    /// Returns whether nearly all attempts succeed in time, so that a failing backend has a fault of its own.
     pub(crate) fn backends_are_healthy(&self) -> bool {
         self.health.is_healthy()
     }
 
-    /// Whether some backend is eligible for another attempt of this request, left out or at its limit though it may be.
+    /// Returns whether some backend is eligible for another attempt of this request, even if it is excluded or at its
+    /// concurrency limit.
     pub(crate) fn has_eligible(&self, rules: &AttemptRules) -> bool {
         rules.allow_attempt() && self.backends.values().any(|backend| self.is_eligible(rules, backend))
     }
 
-    /// Whether an attempt of a request that may have another one is safe at this backend, and slow start allows it.
+    /// Returns whether this backend is in service, an attempt there is safe, and slow start allows it. The caller has
+    /// checked that the request may have another attempt at all.
     fn is_eligible(&self, rules: &AttemptRules, backend: &Backend) -> bool {
         let locate = |id| self.backends.get(&id).map(Backend::location);
         backend.in_service
@@ -104,8 +112,8 @@
             && rules.is_safe_at(backend.location(), locate)
     }
 
-    /// Whether a connection to a backend may be opened ahead of need: to one in service that is not ejected, and while
-    /// it warms up, only as far as this gateway may send to it.
+    /// Returns whether a connection to a backend may be opened before a request needs it. The backend must be in service
+    /// and not ejected, and while it warms up, this gateway must be allowed to send it a request.
     pub(crate) fn may_preconnect(&mut self, now: Micros, id: BackendId) -> bool {
         self.update_slow_start(now);
         self.backends.get(&id).is_some_and(|backend| {
@@ -114,7 +122,7 @@
         })
     }
 
-    /// An attempt is sent to a backend.
+    /// Records that an attempt is sent to a backend.
     pub(crate) fn record_forwarded(&mut self, now: Micros, id: BackendId, units: f64) {
         self.forwarded.add(now, units);
         if let Some(backend) = self.backends.get_mut(&id) {
@@ -124,7 +132,7 @@
         }
     }
 
-    /// An attempt turns into a stream, which lasts as long as its client takes.
+    /// Records that an attempt becomes a stream, whose duration depends on its client.
     pub(crate) fn record_stream(&mut self, id: BackendId) {
         self.remove_in_flight(id);
         if let Some(backend) = self.backends.get_mut(&id) {
@@ -132,7 +140,7 @@
         }
     }
 
-    /// An attempt ended.
+    /// Records the end of an attempt, which may have become a stream.
     pub(crate) fn record_ended(&mut self, id: BackendId, was_stream: bool) {
         if !was_stream {
             self.remove_in_flight(id);
@@ -148,7 +156,8 @@
         }
     }
 
-    /// Learns from an attempt's end; `None`: its backend is not known any more.
+    /// Updates limits, averages and outlier state from the result of an attempt. Returns `None` if its backend is no
+    /// longer known.
     pub(crate) fn record_result(
         &mut self,
         now: Micros,
@@ -179,14 +188,15 @@
         Some(if overloaded { LoadSignal::Overloaded } else { LoadSignal::Normal })
     }
 
-    /// Takes the load report of a backend.
+    /// Records the load that a backend reported, if any.
     pub(crate) fn record_load(&mut self, load: Option<f64>) {
         self.health.record_load(load);
     }
 }
 
-/// Whether an attempt's end tells of too much work. Guards against backends that hold too much and work worse for it,
-/// by overload or by a fault of their own. May be wrong just after short stalls.
+/// Returns whether the result of an attempt indicates too much work. This detects backends that have more in flight than
+/// they can handle, because of overload or a fault of their own, and therefore respond slowly or fail. It may be wrong
+/// just after a short stall.
 fn is_overloaded(
     backend: &Backend,
     result: &AttemptResult,
@@ -200,7 +210,7 @@
     result.outcome == Outcome::Rejected || !has_spare_capacity && (late || timed_out)
 }
 
-/// Whether an outcome counts against the backend.
+/// Returns whether an outcome counts as a failure of the backend.
 fn is_failure(outcome: Outcome) -> bool {
     !matches!(outcome, Outcome::Success | Outcome::Cancelled | Outcome::NotSent | Outcome::ResponseDropped)
 }
--- a/crates/policy/src/balancer/backends_health.rs
+++ b/crates/policy/src/balancer/backends_health.rs
@@ -1,23 +1,24 @@
-//! Figures over all backends.
+//! Averages of latency, failures and load over all backends.
 
 use crate::smoothing::{update_average, update_positive_average, SAMPLE_WEIGHT, SLOW_SAMPLE_WEIGHT};
 use crate::Micros;
 
-/// Share of attempts that failed or were late below which faults lie with single backends.
+/// Below this share of failed or late attempts, failures are attributed to individual backends.
 const HEALTHY_FAILURE_SHARE: f64 = 0.15;
-/// Load from which late answers are taken for overload.
+/// From this reported load on, late answers are treated as overload.
 const BUSY_LOAD: f64 = 0.85;
-/// Where no load is reported: the usual latency stays under this share of the objective while there is spare capacity.
+/// Without load reports, there is spare capacity only while the average latency is below this share of the latency
+/// objective.
 const UNLOADED_LATENCY_SHARE: f64 = 0.5;
 
 /// Averages over the attempts at all backends.
 #[derive(Debug, Default)]
 pub(super) struct BackendsHealth {
-    /// Latency of successful answers, in microseconds; 0: not known.
+    /// Average latency of successful answers, in microseconds; 0 if unknown.
     latency: f64,
-    /// Share of attempts that failed or came after the latency objective.
+    /// Smoothed share of attempts that failed or exceeded the latency objective.
     failure_share: f64,
-    /// Load, where backends report it.
+    /// Average load, if any backend has reported it.
     load: Option<f64>,
 }
 
@@ -30,21 +31,23 @@
         self.failure_share < HEALTHY_FAILURE_SHARE
     }
 
-    /// Whether the backends can bear more: by the load that they report, else while the usual answer comes early and
-    /// nearly all come in time. Guards against shedding load for work that takes long by itself.
+    /// Returns whether the backends can take more work. The reported load decides; without reports, the average latency
+    /// must be low and nearly all attempts must succeed in time. This avoids shedding load because of requests that
+    /// take long by themselves.
     pub(super) fn has_spare_capacity(&self, objective: Micros) -> bool {
         match self.load {
             Some(load) => load < BUSY_LOAD,
             None => {
-                let usual_latency = Micros(self.latency as u64);
-                self.is_healthy() && usual_latency < objective.mul_f64(UNLOADED_LATENCY_SHARE)
+                let average_latency = Micros(self.latency as u64);
+                self.is_healthy() && average_latency < objective.mul_f64(UNLOADED_LATENCY_SHARE)
             }
         }
     }
 
-    /// How slow a backend is against all, within bounds; 1 while nothing is known.
+    /// Returns the ratio of a backend's latency to the average over all backends, clamped to a range; 1 while the average
+    /// is unknown.
     pub(super) fn relative_latency(&self, latency: f64) -> f64 {
-        /// Bounds, so that latency alone does not decide.
+        /// The ratio is clamped so that latency alone does not determine the selection.
         const MIN_RATIO: f64 = 0.7;
         const MAX_RATIO: f64 = 2.0;
         if self.latency > 0.0 {
--- a/crates/policy/src/balancer/concurrency_limit.rs
+++ b/crates/policy/src/balancer/concurrency_limit.rs
@@ -1,19 +1,19 @@
-//! The limit on attempts in flight at one backend, learned by additive increase and multiplicative decrease.
+//! Adapts the limit on attempts in flight at one backend by additive increase and multiplicative decrease.
 
 use crate::Micros;
 
-/// Attempts in flight with which learning starts.
+/// The limit of a backend before any result is known, in attempts.
 pub(super) const INITIAL_LIMIT: f64 = 2.0;
-/// The limit is never below this.
+/// Lower bound of the limit, in attempts.
 const MIN_LIMIT: f64 = 0.1;
-/// What an overload leaves of the limit.
+/// Factor applied to the limit on overload.
 const DECREASE_FACTOR: f64 = 0.7;
-/// What a fast answer adds.
+/// Added to the limit by a fast answer, in attempts.
 const INCREASE: f64 = 0.03;
 /// An answer within this share of the latency objective is fast.
-const FAST_SHARE: f64 = 0.25;
+const FAST_OBJECTIVE_SHARE: f64 = 0.25;
 
-/// The limit of one backend, before it is scaled to the share of this gateway.
+/// Concurrency limit of one backend, before scaling to this gateway's share.
 #[derive(Debug, Clone)]
 pub(crate) struct ConcurrencyLimit(f64);
 
@@ -24,29 +24,29 @@
 }
 
 impl ConcurrencyLimit {
-    /// The limit for a gateway with this share. It may lie below 1.
+    /// Returns the limit for a gateway with this share. It may be below 1.
     pub(crate) fn scaled(&self, scale: f64) -> f64 {
         self.0 * scale
     }
 
-    /// The limit in whole attempts, at least one.
-    pub(super) fn whole_attempts(&self, scale: f64) -> f64 {
+    /// Returns the scaled limit rounded down to an integer, at least 1.
+    pub(super) fn scaled_floor(&self, scale: f64) -> f64 {
         self.scaled(scale).floor().max(1.0)
     }
 
-    /// Whether one more attempt would have reached the limit.
+    /// Returns whether one more attempt in flight would have reached the limit.
     pub(super) fn is_in_use(&self, in_flight: f64, scale: f64) -> bool {
         in_flight + 1.0 >= self.scaled(scale).floor()
     }
 
-    /// The backend has too much work: the limit gives way fast and comes back slowly.
+    /// Lowers the limit after an overload. The decrease is fast and recovery is slow.
     pub(super) fn decrease(&mut self) {
         self.0 = (self.0 * DECREASE_FACTOR).max(MIN_LIMIT);
     }
 
-    /// An answer came fast while the limit was in use: the backend could hold more.
+    /// Raises the limit after a fast answer if the limit was in use, since the backend could handle more.
     pub(super) fn increase_if_fast(&mut self, in_use: bool, latency: Micros, objective: Micros) {
-        if in_use && latency < objective.mul_f64(FAST_SHARE) {
+        if in_use && latency < objective.mul_f64(FAST_OBJECTIVE_SHARE) {
             self.0 += INCREASE;
         }
     }
--- a/crates/policy/src/balancer/endpoint_list.rs
+++ b/crates/policy/src/balancer/endpoint_list.rs
@@ -1,13 +1,13 @@
-//! Taking the endpoint list over.
+//! Applies updates of the endpoint list to the balancer's backends.
 
 use crate::balancer::{Backend, Balancer};
 use crate::{Endpoint, EndpointListScope, EndpointState, Micros};
 
-/// The weight of a backend whose entry has none.
+/// Weight of a backend whose endpoint has no positive weight.
 const DEFAULT_WEIGHT: f64 = 1.0;
 
 impl Balancer {
-    /// Takes endpoints over.
+    /// Applies a complete endpoint list or a set of changes. Backends missing from a complete list go out of service.
     pub(crate) fn apply_endpoints(
         &mut self,
         now: Micros,
@@ -19,7 +19,7 @@
             self.backends.values_mut().for_each(|backend| backend.in_service = false);
         }
         endpoints.into_iter().for_each(|endpoint| self.apply_endpoint(now, &endpoint, random));
-        // Keeps no state of backends that are gone and have nothing in flight.
+        // Drops the state of backends that are out of service and have nothing in flight.
         self.backends.retain(|_, backend| backend.in_service || backend.in_flight + backend.streams > 0.0);
         let in_service = self.backends.iter().filter(|(_, backend)| backend.in_service);
         self.ring = in_service.map(|(&id, _)| id).collect();
@@ -42,7 +42,7 @@
     }
 }
 
-/// Whether this start is later than the one that is known.
+/// Returns whether this start is later than the known one, or none is known.
 fn is_later_start(backend: &Backend, started_at: Micros) -> bool {
     backend.slow_start.started_at().is_none_or(|known| known < started_at)
 }
--- a/crates/policy/src/balancer/outlier_detection.rs
+++ b/crates/policy/src/balancer/outlier_detection.rs
@@ -1,42 +1,43 @@
-//! Outlier detection: a backend that fails while others do not is ejected for a while, then tried with one attempt.
+//! Outlier detection: ejects a backend that fails while others do not, then retries it with one attempt at a time.
 
 use crate::balancer::backends_health::BackendsHealth;
 use crate::smoothing::{update_average, SAMPLE_WEIGHT};
 use crate::{Micros, Outcome};
 
-/// Smoothed share of failures from which a backend is an outlier; four failures in a row pass it.
+/// Smoothed failure share above which a backend is an outlier; four consecutive failures exceed it.
 const OUTLIER_FAILURE_SHARE: f64 = 0.3;
-/// An outlier fails this many times as often as all backends: an overload must not eject them one by one.
+/// An outlier's failure share exceeds this multiple of the share over all backends, so that an overload does not eject
+/// them one by one.
 const OUTLIER_FACTOR: f64 = 2.0;
-/// How long the first ejection lasts. A backend that was unreachable for longer is taken to have been restarted.
+/// Duration of the first ejection. A backend that was unreachable for longer is assumed to have restarted.
 pub(super) const BASE_EJECTION_TIME: Micros = Micros::from_secs(1);
-/// How often the time is doubled at most.
+/// Maximum number of times that the ejection time is doubled.
 const MAX_DOUBLINGS: u32 = 3;
-/// The smallest random factor of an ejection's time.
+/// Smallest random factor applied to the ejection time.
 const MIN_EJECTION_JITTER: f64 = 0.75;
-/// The width of the range of that factor.
+/// Width of the range of the random factor.
 const EJECTION_JITTER_RANGE: f64 = 0.5;
-/// How long a backend is left alone that rejected an attempt.
+/// How long a backend is excluded after it rejected an attempt.
 const REJECTION_PAUSE: Micros = Micros::from_millis(100);
 
-/// The random factor of an ejection's time.
+/// Draws the random factor for an ejection time.
 pub(super) fn jitter(random: &mut fastrand::Rng) -> f64 {
     MIN_EJECTION_JITTER + EJECTION_JITTER_RANGE * random.f64()
 }
 
-/// What is known of one backend's failures.
+/// Failure statistics and ejection state of one backend.
 #[derive(Debug, Default)]
 pub(crate) struct OutlierState {
     /// Smoothed share of attempts that failed.
     failure_share: f64,
-    /// Until when it is left out: ejected as an outlier, or paused after it rejected an attempt.
+    /// End of the current exclusion: an ejection as an outlier, or the pause after a rejected attempt.
     excluded_until: Micros,
-    /// How often the time of the next ejection is doubled. Kept over the success that ends a trial, and cleared by the
-    /// next one.
+    /// How many times the next ejection time is doubled. The success that ends a trial keeps it; the next success resets
+    /// it.
     doublings: u32,
-    /// It was ejected and has not answered with success since: it gets one attempt at a time.
+    /// Whether it was ejected and has not answered with success since. It then gets one attempt at a time.
     awaits_trial: bool,
-    /// Since when connections to it have failed.
+    /// Time of the first failed connection since the last success.
     unreachable_since: Option<Micros>,
 }
 
@@ -45,17 +46,17 @@
         self.failure_share
     }
 
-    /// Ejected, or paused after a rejection.
+    /// Returns whether the backend is ejected, or paused after a rejection.
     pub(crate) fn is_excluded(&self, now: Micros) -> bool {
         now < self.excluded_until
     }
 
-    /// Ejected before, and not answered with success since.
+    /// Returns whether the backend was ejected and has not answered with success since.
     pub(crate) fn awaits_trial(&self) -> bool {
         self.awaits_trial
     }
 
-    /// An attempt succeeded; since when the backend had been unreachable, if it had.
+    /// Records a success. Returns since when the backend had been unreachable, if it was.
     pub(super) fn record_success(&mut self) -> Option<Micros> {
         self.failure_share *= 1.0 - SAMPLE_WEIGHT;
         let trial_passed = std::mem::take(&mut self.awaits_trial);
@@ -67,12 +68,13 @@
         self.unreachable_since.take()
     }
 
-    /// An attempt failed. Guards against backends that fail fast, hang or are unreachable.
+    /// Records a failure, and ejects the backend if it is an outlier. This keeps requests away from backends that fail
+    /// fast, hang or are unreachable.
     pub(super) fn record_failure(
         &mut self,
         outcome: Outcome,
         now: Micros,
-        all: &BackendsHealth,
+        backends_health: &BackendsHealth,
         jitter: f64,
     ) {
         if outcome == Outcome::Rejected {
@@ -84,7 +86,7 @@
         if unreachable {
             self.unreachable_since.get_or_insert(now);
         }
-        let outlier_share = OUTLIER_FAILURE_SHARE.max(OUTLIER_FACTOR * all.failure_share());
+        let outlier_share = OUTLIER_FAILURE_SHARE.max(OUTLIER_FACTOR * backends_health.failure_share());
         let is_outlier = unreachable || self.failure_share > outlier_share;
         if !self.is_excluded(now) && (is_outlier || self.awaits_trial) {
             self.eject(now, jitter);
--- a/crates/policy/src/balancer/selection.rs
+++ b/crates/policy/src/balancer/selection.rs
@@ -1,41 +1,43 @@
-//! Which backend gets an attempt: the eligible one with the least expected wait.
+//! Selects the backend for an attempt: the candidate with the shortest expected wait.
 
 use crate::attempt_rules::AttemptRules;
 use crate::balancer::{Backend, Balancer};
 use crate::hash::unit_interval;
 use crate::{BackendId, Micros};
 
-/// Attempts in flight that a gateway with fractional limits may have, whatever their sum: fewer hold back what comes by
-/// chance at the same moment.
+/// Attempts that a gateway with fractional limits may always have in flight, whatever the sum of its limits. A smaller
+/// number would delay requests that happen to arrive at the same moment.
 const MIN_IN_FLIGHT_FRACTIONAL: f64 = 2.0;
-/// The same for other gateways.
+/// Attempts that any other gateway may always have in flight.
 const MIN_IN_FLIGHT: f64 = 1.0;
-/// What a backend's failures add to its expected wait.
+/// Weight of a backend's failure share in its expected wait.
 const FAILURE_PENALTY: f64 = 3.0;
-/// What each earlier attempt of the same request at this backend adds.
+/// Added to the expected wait for each earlier attempt of the same request at this backend, in attempts.
 const REPEAT_PENALTY: f64 = 4.0;
-/// What another zone adds, as a share.
+/// Relative increase of the expected wait for a backend in another zone.
 const OTHER_ZONE_PENALTY: f64 = 0.05;
-/// The random part of the expected wait, as a share.
+/// Largest random increase of the expected wait, as a share of it.
 const RANDOM_SHARE: f64 = 0.1;
-/// A backend on trial, or one whose turn for slow start has come, is preferred by this factor.
+/// Factor applied to the expected wait of a backend that awaits its trial, or of a cold one that this gateway may send to
+/// in the current time slot.
 const PREFERENCE_FACTOR: f64 = 0.3;
 
-/// What is the same for all candidates of one choice.
-struct Choice<'a> {
+/// Inputs shared by all candidates of one selection.
+struct SelectionContext<'a> {
     rules: &'a AttemptRules<'a>,
     now: Micros,
     /// This gateway's share in the limit of each backend.
     limit_scale: f64,
     fractional_limits: bool,
-    /// Some backend is neither ejected nor busy with its trial.
+    /// Whether some backend is available.
     any_available: bool,
-    /// Draws the random part of each candidate's wait.
+    /// Seeds the random part of each candidate's wait.
     salt: u64,
 }
 
 impl Balancer {
-    /// The eligible backend with the least expected wait, outside the subset only if that has none.
+    /// Returns the candidate with the shortest expected wait. Backends outside the subset are used only if the subset has
+    /// no candidate.
     pub(crate) fn select(&mut self, rules: &AttemptRules, random: &mut fastrand::Rng) -> Option<BackendId> {
         let now = rules.now;
         self.update_slow_start(now);
@@ -51,25 +53,25 @@
         }
         let any_available = total_limit > 0.0
             || self.backends.values().any(|backend| backend.in_service && backend.is_available(now));
-        let choice = Choice { rules, now, limit_scale, fractional_limits, any_available, salt };
-        self.best_candidate(&choice, subset_size)
+        let context = SelectionContext { rules, now, limit_scale, fractional_limits, any_available, salt };
+        self.best_candidate(&context, subset_size)
     }
 
-    /// The sum of the limits of the available backends in the subset.
+    /// Returns the sum of the scaled limits of the available backends in the subset.
     fn total_limit(&self, now: Micros, subset_size: usize, limit_scale: f64) -> f64 {
         let subset = self.subset_first().take(subset_size).map(|id| &self.backends[&id]);
         let available = subset.filter(|backend| backend.is_available(now));
         available.map(|backend| backend.concurrency_limit.scaled(limit_scale)).sum()
     }
 
-    /// Limits may lie below one attempt where many gateways share the backends: what is in flight in all stays within
-    /// their sum.
+    /// Returns whether the attempts in flight at all backends have reached the sum of the limits. The sum is enforced
+    /// because a single limit may be below one attempt where many gateways share the backends.
     fn is_at_limit(&self, total_limit: f64, fractional_limits: bool) -> bool {
         let min_in_flight = if fractional_limits { MIN_IN_FLIGHT_FRACTIONAL } else { MIN_IN_FLIGHT };
         total_limit > 0.0 && self.in_flight >= total_limit.max(min_in_flight)
     }
 
-    fn best_candidate(&self, choice: &Choice, subset_size: usize) -> Option<BackendId> {
+    fn best_candidate(&self, context: &SelectionContext, subset_size: usize) -> Option<BackendId> {
         let mut best: Option<(f64, BackendId)> = None;
         let mut warm_backends_seen = 0;
         for id in self.subset_first() {
@@ -77,12 +79,13 @@
                 break;
             }
             let backend = &self.backends[&id];
-            // Cold backends come on top. Guards against a subset that was replaced and has few left that can work.
+            // Cold backends are not counted, so that the search continues past a subset that was recently replaced and has
+            // few backends able to work.
             warm_backends_seen += usize::from(!backend.slow_start.is_warming_up());
-            if !self.is_candidate(choice, backend) {
+            if !self.is_candidate(context, backend) {
                 continue;
             }
-            let wait = self.expected_wait(choice, id, backend);
+            let wait = self.expected_wait(context, id, backend);
             if best.is_none_or(|(best_wait, _)| wait < best_wait) {
                 best = Some((wait, id));
             }
@@ -90,32 +93,33 @@
         best.map(|(_, id)| id)
     }
 
-    /// Whether a backend may be chosen. With none available, one attempt at a time goes to whatever is in service.
-    fn is_candidate(&self, choice: &Choice, backend: &Backend) -> bool {
-        let limit = match choice.any_available {
-            true => backend.concurrency_limit.whole_attempts(choice.limit_scale),
+    /// Returns whether a backend may be selected. If none is available, each eligible backend gets one attempt at a time.
+    fn is_candidate(&self, context: &SelectionContext, backend: &Backend) -> bool {
+        let limit = match context.any_available {
+            true => backend.concurrency_limit.scaled_floor(context.limit_scale),
             false => 1.0,
         };
         backend.in_flight < limit
-            && (!choice.any_available || backend.is_available(choice.now))
-            && self.is_eligible(choice.rules, backend)
+            && (!context.any_available || backend.is_available(context.now))
+            && self.is_eligible(context.rules, backend)
     }
 
-    /// The wait expected at a backend, in attempts of an average one.
-    fn expected_wait(&self, choice: &Choice, id: BackendId, backend: &Backend) -> f64 {
-        let request = choice.rules.request;
+    /// Returns the expected wait at a backend, in attempts of an average backend.
+    fn expected_wait(&self, context: &SelectionContext, id: BackendId, backend: &Backend) -> f64 {
+        let request = context.rules.request;
         let relative_latency = self.health.relative_latency(backend.latency);
         let queue = backend.in_flight + backend.streams + 1.0;
         let failure_factor = 1.0 + FAILURE_PENALTY * backend.outlier.failure_share();
         let repeat_penalty = REPEAT_PENALTY * request.attempts_at(id) as f64;
         let wait = queue * relative_latency / backend.weight * failure_factor + repeat_penalty;
-        let random_part = RANDOM_SHARE * unit_interval(choice.salt ^ id.0);
-        let is_near = backend.zone == self.settings.zone;
-        let zone_penalty = if is_near { 0.0 } else { OTHER_ZONE_PENALTY * choice.limit_scale };
-        let wait = wait * (1.0 + random_part + zone_penalty);
-        // Otherwise a backend on trial would never be tried again, and a turn for slow start would lapse.
-        let has_turn = backend.slow_start.is_warming_up() && choice.fractional_limits;
-        let is_preferred = (backend.outlier.awaits_trial() || has_turn) && request.attempts.is_empty();
+        let random_increase = RANDOM_SHARE * unit_interval(context.salt ^ id.0);
+        let same_zone = backend.zone == self.settings.zone;
+        let zone_penalty = if same_zone { 0.0 } else { OTHER_ZONE_PENALTY * context.limit_scale };
+        let wait = wait * (1.0 + random_increase + zone_penalty);
+        // Without this preference a backend that awaits its trial would never be tried, and a slow-start slot would expire
+        // unused.
+        let has_slot = backend.slow_start.is_warming_up() && context.fractional_limits;
+        let is_preferred = (backend.outlier.awaits_trial() || has_slot) && request.attempts.is_empty();
         wait * if is_preferred { PREFERENCE_FACTOR } else { 1.0 }
     }
 }
--- a/crates/policy/src/balancer/slow_start.rs
+++ b/crates/policy/src/balancer/slow_start.rs
@@ -1,31 +1,32 @@
-//! Slow start and recovery ramp: a backend that has just started gets its share of work step by step.
+//! Slow start (recovery ramp): a backend that has just started gets a gradually increasing share of the work.
 
 use crate::balancer::outlier_detection::BASE_EJECTION_TIME;
-use crate::balancer::turns::{turn, TurnHolder};
+use crate::balancer::time_slots::{assigned_slot, SlotQuery};
 use crate::balancer::Balancer;
 use crate::token_bucket::TokenBucket;
 use crate::{Micros, Settings};
 
-/// An allowance for one request, whatever its units: any level above zero allows one, which may take it below zero.
+/// An allowance level that permits exactly one request of any size: any level above zero permits one, which may take the
+/// level below zero.
 const ONE_REQUEST: f64 = 1e-9;
-/// The most that an allowance saves up, in units.
+/// Capacity of an allowance, in units.
 const MAX_ALLOWANCE: f64 = 1.0;
-/// Of what overloads a cold backend, this share is used at most.
+/// A cold backend is sent at most this share of the load that would overload it.
 const OVERLOAD_MARGIN: f64 = 0.5;
-/// While all weights together are at most this multiple of the usable warm ones, a cold backend is measured by what a
-/// warm one gets; else the work is divided by all backends.
+/// While the sum of all weights is at most this multiple of the usable warm weights, a cold backend's share is derived
+/// from the work of a warm one. Beyond it, the work is divided by the weights of all backends.
 const MAX_TOTAL_TO_WARM: f64 = 3.0;
-/// The smallest sum of weights that is divided by.
+/// Lower bound of the weight sum used as a divisor.
 const MIN_WEIGHT: f64 = 1e-9;
 
-/// How backends start, as the settings tell it.
+/// The settings that describe how backends warm up.
 #[derive(Clone, Debug, Default)]
 pub(super) struct SlowStartSettings {
-    /// A backend has its full capacity this long after its start.
+    /// Time from its start until a backend has its full capacity.
     pub(super) warm_up_time: Micros,
-    /// Share of its capacity that it has when it starts.
+    /// Share of its full capacity that a backend has when it starts.
     cold_capacity_share: f64,
-    /// The multiple of its present capacity that overloads it.
+    /// Multiple of its current capacity that overloads a cold backend.
     overload_multiple: f64,
 }
 
@@ -38,27 +39,27 @@
         }
     }
 
-    /// The share of its capacity that a backend has this long after its start.
+    /// Returns the share of its full capacity that a backend has this long after its start.
     fn capacity_share(&self, age: Micros) -> f64 {
         let progress = age.as_secs_f64() / self.warm_up_time.as_secs_f64();
         self.cold_capacity_share + (1.0 - self.cold_capacity_share) * progress
     }
 
-    /// The share of its present capacity that a cold backend is given.
+    /// Returns the share of its current capacity that a cold backend is sent.
     fn used_share(&self) -> f64 {
         (self.overload_multiple * OVERLOAD_MARGIN).min(1.0)
     }
 }
 
-/// The slow start of one backend.
+/// Slow-start state of one backend.
 #[derive(Debug, Default)]
 pub(crate) struct SlowStart {
-    /// When it started; `None`: it is warm.
+    /// When it started; `None` if it is warm.
     started_at: Option<Micros>,
-    /// What this gateway may send it while it warms up, in units.
+    /// Units that this gateway may send it while it warms up.
     allowance: TokenBucket,
-    /// The last turn that this gateway had at it.
-    last_turn: Option<u64>,
+    /// The last time slot in which this gateway was permitted to send it a request.
+    last_slot: Option<u64>,
 }
 
 impl SlowStart {
@@ -70,29 +71,29 @@
         self.started_at
     }
 
-    /// It warms up, and this gateway may send it nothing now.
+    /// Returns whether it warms up and this gateway has no allowance left for it.
     pub(super) fn is_held_back(&self) -> bool {
         self.is_warming_up() && self.allowance.level <= 0.0
     }
 
-    /// Units are sent to the backend.
+    /// Deducts units sent to the backend from the allowance.
     pub(super) fn spend(&mut self, units: f64) {
         self.allowance.level -= units;
     }
 
-    /// The allowance of a backend that the endpoint list reports as started: below zero by some requests, drawn at
-    /// random, so that not all gateways send at once.
+    /// Sets the allowance of a backend that the endpoint list reports as started to a negative level of a random number
+    /// of requests, so that gateways do not all send at the same time.
     pub(super) fn delay_first_request(&mut self, max_request_units: f64, random: f64, now: Micros) {
         self.allowance = empty_allowance(-max_request_units * (1.0 + random), now);
     }
 
-    /// The endpoint list tells when the backend started, if that was lately.
+    /// Sets the start time from the endpoint list, if the list reports a recent start.
     pub(super) fn set_started_at(&mut self, started_at: Option<Micros>) {
         self.started_at = started_at.or(self.started_at);
     }
 
-    /// Guards against a restart that the endpoint list has not reported yet: connections failed for a while and now the
-    /// backend answers, so it is taken to be cold.
+    /// Begins slow start after a restart that the endpoint list has not reported yet. A backend that answers again after
+    /// its connections failed for a while is treated as cold.
     pub(super) fn start_if_restarted(&mut self, unreachable_since: Option<Micros>, now: Micros) {
         let restarted = unreachable_since.is_some_and(|since| now - since > BASE_EJECTION_TIME);
         if restarted && !self.is_warming_up() {
@@ -101,31 +102,39 @@
         }
     }
 
-    /// Brings the allowance up to date.
-    fn update(&mut self, settings: &SlowStartSettings, pace: &Pace, weight: f64, holder: TurnHolder) {
+    /// Updates the allowance to the current time, and ends slow start once the backend is warm.
+    fn update(
+        &mut self,
+        settings: &SlowStartSettings,
+        rates: &SlowStartRates,
+        weight: f64,
+        query: SlotQuery,
+    ) {
         let Some(started_at) = self.started_at else { return };
-        let now = holder.now;
+        let now = query.now;
         if now >= started_at + settings.warm_up_time {
             self.started_at = None;
             return;
         }
         let capacity_share = settings.capacity_share(now - started_at);
-        let units_per_second = pace.units_per_weight * weight * capacity_share * settings.used_share();
-        match pace.requests_per_unit {
+        let units_per_second = rates.units_per_weight * weight * capacity_share * settings.used_share();
+        match rates.requests_per_unit {
             None => {
                 self.allowance.refill_rate = units_per_second;
                 self.allowance.refill(now);
             }
-            Some(requests_per_unit) => self.take_turn(turn(holder, units_per_second * requests_per_unit)),
+            Some(requests_per_unit) => {
+                self.use_slot(assigned_slot(query, units_per_second * requests_per_unit))
+            }
         }
     }
 
-    /// One request in each turn; an unused allowance lapses with it.
-    fn take_turn(&mut self, turn: Option<u64>) {
-        if turn.is_none() {
+    /// Permits one request in each assigned time slot. An unused allowance expires with its slot.
+    fn use_slot(&mut self, slot: Option<u64>) {
+        if slot.is_none() {
             self.allowance.level = 0.0;
-        } else if turn != self.last_turn {
-            self.last_turn = turn;
+        } else if slot != self.last_slot {
+            self.last_slot = slot;
             self.allowance.level = ONE_REQUEST;
         }
     }
@@ -135,32 +144,33 @@
     TokenBucket { level, depth: MAX_ALLOWANCE, refill_rate: 0.0, updated_at: now }
 }
 
-/// What cold backends get at a moment.
-struct Pace {
-    /// Units a second that a warm backend of weight 1 gets from this gateway.
+/// The rates from which the allowances of cold backends are computed.
+struct SlowStartRates {
+    /// Units per second that a warm backend of weight 1 gets from this gateway.
     units_per_weight: f64,
-    /// With fractional limits, where allowances go round by turns: makes of these the requests a second of all gateways.
+    /// Converts this gateway's units per second into requests per second of all gateways. Set only with fractional limits,
+    /// where gateways are permitted requests by time slot.
     requests_per_unit: Option<f64>,
 }
 
 impl Balancer {
-    /// Brings the allowances of cold backends up to date. Guards against overloading a cold backend: it is given the
-    /// work that a warm one of its weight gets from this gateway, times the share of its capacity that it must have by
-    /// now. Warm backends bear that load, and each gateway scales its own, so the sum stays in proportion.
+    /// Updates the allowances of cold backends, which keep them from being overloaded. A cold backend gets the work that a
+    /// warm one of its weight gets from this gateway, times the share of its capacity that it must have reached by now.
+    /// Warm backends handle that load, and since each gateway scales its own work, the sum stays in proportion.
     pub(super) fn update_slow_start(&mut self, now: Micros) {
         if !self.backends.values().any(|backend| backend.slow_start.is_warming_up()) {
             return;
         }
-        let pace = self.slow_start_pace(now);
+        let rates = self.slow_start_rates(now);
         let settings = &self.settings;
         for (&backend_id, backend) in &mut self.backends {
             let (gateway, gateways) = (settings.gateway_index, settings.gateway_count);
-            let holder = TurnHolder { gateway, gateways, backend: backend_id, now };
-            backend.slow_start.update(&settings.slow_start, &pace, backend.weight, holder);
+            let query = SlotQuery { gateway, gateways, backend: backend_id, now };
+            backend.slow_start.update(&settings.slow_start, &rates, backend.weight, query);
         }
     }
 
-    fn slow_start_pace(&self, now: Micros) -> Pace {
+    fn slow_start_rates(&self, now: Micros) -> SlowStartRates {
         let in_service = || self.backends.values().filter(|backend| backend.in_service);
         let warm = || in_service().filter(|backend| !backend.slow_start.is_warming_up());
         let usable_warm = warm().filter(|backend| !backend.outlier.is_excluded(now));
@@ -168,11 +178,11 @@
         let total_weight: f64 = in_service().map(|backend| backend.weight).sum();
         let enough_warm = warm_weight * MAX_TOTAL_TO_WARM >= total_weight;
         let shared_by = if enough_warm { warm_weight } else { total_weight.max(MIN_WEIGHT) };
-        // Turns of gateways whose subset lacks the backend are lost.
-        let gateways_per_turn = (warm().count() as f64 / self.subset_size(now).max(1) as f64).max(1.0);
+        // Slots assigned to gateways whose subset lacks the backend are lost.
+        let slots_per_request = (warm().count() as f64 / self.subset_size(now).max(1) as f64).max(1.0);
         let gateways = f64::from(self.settings.gateway_count);
-        let requests_per_unit = gateways * gateways_per_turn / self.settings.max_request_units.max(1.0);
-        Pace {
+        let requests_per_unit = gateways * slots_per_request / self.settings.max_request_units.max(1.0);
+        SlowStartRates {
             units_per_weight: self.forwarded.per_second(now) / shared_by,
             requests_per_unit: self.limits_are_fractional(now).then_some(requests_per_unit),
         }
