--- a/crates/policy/src/balancer.rs
+++ b/crates/policy/src/balancer.rs
@@ -1,8 +1,8 @@
 //! Selects a backend for each attempt and updates backend state from the results of attempts.
 //!
 //! A backend is *eligible* for a request if it is in service, an attempt there is safe and slow start allows it. It is
-//! *available* if it is neither excluded nor busy with its trial attempt. It is a *candidate* if it is both eligible and
-//! available, and below its concurrency limit.
+//! *available* if it is neither excluded nor busy with its trial attempt. It is a *candidate* if it is both eligible
+//! and available, and below its concurrency limit.
 //!
 //! Each submodule implements one rule:
 //!
@@ -112,8 +112,8 @@
             && rules.is_safe_at(backend.location(), locate)
     }
 
-    /// Returns whether a connection to a backend may be opened before a request needs it. The backend must be in service
-    /// and not ejected, and while it warms up, this gateway must be allowed to send it a request.
+    /// Returns whether a connection to a backend may be opened before a request needs it. The backend must be in
+    /// service and not ejected, and while it warms up, this gateway must be allowed to send it a request.
     pub(crate) fn may_preconnect(&mut self, now: Micros, id: BackendId) -> bool {
         self.update_slow_start(now);
         self.backends.get(&id).is_some_and(|backend| {
@@ -194,9 +194,9 @@
     }
 }
 
-/// Returns whether the result of an attempt indicates too much work. This detects backends that have more in flight than
-/// they can handle, because of overload or a fault of their own, and therefore respond slowly or fail. It may be wrong
-/// just after a short stall.
+/// Returns whether the result of an attempt indicates too much work. This detects backends that have more in flight
+/// than they can handle, because of overload or a fault of their own, and therefore respond slowly or fail. It may be
+/// wrong just after a short stall.
 fn is_overloaded(
     backend: &Backend,
     result: &AttemptResult,
--- a/crates/policy/src/balancer/backends_health.rs
+++ b/crates/policy/src/balancer/backends_health.rs
@@ -44,8 +44,8 @@
         }
     }
 
-    /// Returns the ratio of a backend's latency to the average over all backends, clamped to a range; 1 while the average
-    /// is unknown.
+    /// Returns the ratio of a backend's latency to the average over all backends, clamped to a range; 1 while the
+    /// average is unknown.
     pub(super) fn relative_latency(&self, latency: f64) -> f64 {
         /// The ratio is clamped so that latency alone does not determine the selection.
         const MIN_RATIO: f64 = 0.7;
--- a/crates/policy/src/balancer/outlier_detection.rs
+++ b/crates/policy/src/balancer/outlier_detection.rs
@@ -32,8 +32,8 @@
     failure_share: f64,
     /// End of the current exclusion: an ejection as an outlier, or the pause after a rejected attempt.
     excluded_until: Micros,
-    /// How many times the next ejection time is doubled. The success that ends a trial keeps it; the next success resets
-    /// it.
+    /// How many times the next ejection time is doubled. The success that ends a trial keeps it; the next success
+    /// resets it.
     doublings: u32,
     /// Whether it was ejected and has not answered with success since. It then gets one attempt at a time.
     awaits_trial: bool,
--- a/crates/policy/src/balancer/selection.rs
+++ b/crates/policy/src/balancer/selection.rs
@@ -18,8 +18,8 @@
 const OTHER_ZONE_PENALTY: f64 = 0.05;
 /// Largest random increase of the expected wait, as a share of it.
 const RANDOM_SHARE: f64 = 0.1;
-/// Factor applied to the expected wait of a backend that awaits its trial, or of a cold one that this gateway may send to
-/// in the current time slot.
+/// Factor applied to the expected wait of a backend that awaits its trial, or of a cold one that this gateway may send
+/// to in the current time slot.
 const PREFERENCE_FACTOR: f64 = 0.3;
 
 /// Inputs shared by all candidates of one selection.
@@ -36,8 +36,8 @@
 }
 
 impl Balancer {
-    /// Returns the candidate with the shortest expected wait. Backends outside the subset are used only if the subset has
-    /// no candidate.
+    /// Returns the candidate with the shortest expected wait. Backends outside the subset are used only if the subset
+    /// has no candidate.
     pub(crate) fn select(&mut self, rules: &AttemptRules, random: &mut fastrand::Rng) -> Option<BackendId> {
         let now = rules.now;
         self.update_slow_start(now);
@@ -79,8 +79,8 @@
                 break;
             }
             let backend = &self.backends[&id];
-            // Cold backends are not counted, so that the search continues past a subset that was recently replaced and has
-            // few backends able to work.
+            // Cold backends are not counted, so that the search continues past a subset that was recently replaced and
+            // has few backends able to work.
             warm_backends_seen += usize::from(!backend.slow_start.is_warming_up());
             if !self.is_candidate(context, backend) {
                 continue;
@@ -93,7 +93,8 @@
         best.map(|(_, id)| id)
     }
 
-    /// Returns whether a backend may be selected. If none is available, each eligible backend gets one attempt at a time.
+    /// Returns whether a backend may be selected. If none is available, each eligible backend gets one attempt at a
+    /// time.
     fn is_candidate(&self, context: &SelectionContext, backend: &Backend) -> bool {
         let limit = match context.any_available {
             true => backend.concurrency_limit.scaled_floor(context.limit_scale),
@@ -116,8 +117,8 @@
         let same_zone = backend.zone == self.settings.zone;
         let zone_penalty = if same_zone { 0.0 } else { OTHER_ZONE_PENALTY * context.limit_scale };
         let wait = wait * (1.0 + random_increase + zone_penalty);
-        // Without this preference a backend that awaits its trial would never be tried, and a slow-start slot would expire
-        // unused.
+        // Without this preference a backend that awaits its trial would never be tried, and a slow-start slot would
+        // expire unused.
         let has_slot = backend.slow_start.is_warming_up() && context.fractional_limits;
         let is_preferred = (backend.outlier.awaits_trial() || has_slot) && request.attempts.is_empty();
         wait * if is_preferred { PREFERENCE_FACTOR } else { 1.0 }
--- a/crates/policy/src/balancer/slow_start.rs
+++ b/crates/policy/src/balancer/slow_start.rs
@@ -6,8 +6,8 @@
 use crate::token_bucket::TokenBucket;
 use crate::{Micros, Settings};
 
-/// An allowance level that permits exactly one request of any size: any level above zero permits one, which may take the
-/// level below zero.
+/// An allowance level that permits exactly one request of any size: any level above zero permits one, which may take
+/// the level below zero.
 const ONE_REQUEST: f64 = 1e-9;
 /// Capacity of an allowance, in units.
 const MAX_ALLOWANCE: f64 = 1.0;
@@ -92,8 +92,8 @@
         self.started_at = started_at.or(self.started_at);
     }
 
-    /// Begins slow start after a restart that the endpoint list has not reported yet. A backend that answers again after
-    /// its connections failed for a while is treated as cold.
+    /// Begins slow start after a restart that the endpoint list has not reported yet. A backend that answers again
+    /// after its connections failed for a while is treated as cold.
     pub(super) fn start_if_restarted(&mut self, unreachable_since: Option<Micros>, now: Micros) {
         let restarted = unreachable_since.is_some_and(|since| now - since > BASE_EJECTION_TIME);
         if restarted && !self.is_warming_up() {
@@ -148,15 +148,15 @@
 struct SlowStartRates {
     /// Units per second that a warm backend of weight 1 gets from this gateway.
     units_per_weight: f64,
-    /// Converts this gateway's units per second into requests per second of all gateways. Set only with fractional limits,
-    /// where gateways are permitted requests by time slot.
+    /// Converts this gateway's units per second into requests per second of all gateways. Set only with fractional
+    /// limits, where gateways are permitted requests by time slot.
     requests_per_unit: Option<f64>,
 }
 
 impl Balancer {
-    /// Updates the allowances of cold backends, which keep them from being overloaded. A cold backend gets the work that a
-    /// warm one of its weight gets from this gateway, times the share of its capacity that it must have reached by now.
-    /// Warm backends handle that load, and since each gateway scales its own work, the sum stays in proportion.
+    /// Updates the allowances of cold backends, which keep them from being overloaded. A cold backend gets the work
+    /// that a warm one of its weight gets from this gateway, times the share of its capacity that it must have reached
+    /// by now. Warm backends handle that load, and since each gateway scales its own work, the sum stays in proportion.
     pub(super) fn update_slow_start(&mut self, now: Micros) {
         if !self.backends.values().any(|backend| backend.slow_start.is_warming_up()) {
             return;
--- a/crates/policy/src/balancer/time_slots.rs
+++ b/crates/policy/src/balancer/time_slots.rs
@@ -1,9 +1,9 @@
 //! Time slots in which gateways may send to a cold backend, used where many gateways share the backends.
 //!
-//! A gateway that sends to a backend only once in many seconds cannot accumulate an allowance for it: either all gateways
-//! would have accumulated one request at the same time, or the backend would be warm before any had. Requests are permitted
-//! in rotation instead. Time is divided into slots by the clock that all gateways share. In each slot the right number of
-//! gateways, determined by their indexes, may send one request each, without exchanging messages.
+//! A gateway that sends to a backend only once in many seconds cannot accumulate an allowance for it: either all
+//! gateways would have accumulated one request at the same time, or the backend would be warm before any had. Requests
+//! are permitted in rotation instead. Time is divided into slots by the clock that all gateways share. In each slot the
+//! right number of gateways, determined by their indexes, may send one request each, without exchanging messages.
 
 use crate::hash::{unit_interval, GOLDEN_RATIO_CONJUGATE};
 use crate::{BackendId, Micros};
@@ -11,8 +11,8 @@
 /// Long enough that a gateway has a request to send in its slot, and much shorter than the time it takes to overload a
 /// backend.
 const SLOT_DURATION: Micros = Micros::from_millis(250);
-/// Share of the ring of gateways by which the first assigned gateway advances from slot to slot. With the golden ratio, any
-/// few consecutive slots permit about the same number of requests.
+/// Share of the ring of gateways by which the first assigned gateway advances from slot to slot. With the golden ratio,
+/// any few consecutive slots permit about the same number of requests.
 const ROTATION_STEP: f64 = GOLDEN_RATIO_CONJUGATE;
 
 /// Identifies the gateway, backend and time for which a slot is looked up.
@@ -24,8 +24,9 @@
     pub(super) now: Micros,
 }
 
-/// Returns the current slot if it is assigned to the gateway. `rate` is the number of requests per second that all gateways
-/// together may send. If it amounts to a fraction of a request per slot, that fraction of the slots is assigned.
+/// Returns the current slot if it is assigned to the gateway. `rate` is the number of requests per second that all
+/// gateways together may send. If it amounts to a fraction of a request per slot, that fraction of the slots is
+/// assigned.
 pub(super) fn assigned_slot(query: SlotQuery, rate: f64) -> Option<u64> {
     let slot = query.now.0 / SLOT_DURATION.0;
     let ring_size = f64::from(query.gateways.max(1));
--- a/crates/policy/tests/circuit_breaker.rs
+++ b/crates/policy/tests/circuit_breaker.rs
@@ -1,80 +1,94 @@
-//! The circuit breaker before the counter, and the share of requests that query it.
+//! Tests of the circuit breaker for counter calls, and of the share of requests that query the counter.
 mod common;
 use common::*;
 use lanespan_policy::*;
 
-/// Lets a customer's call to the counter fail; whether a call was made.
-fn failing(harness: &mut Harness, customer: u64) -> bool {
+/// Sends a request and fails its counter calls. Returns whether it made any.
+fn fail_counter_calls(harness: &mut Harness, customer: u64) -> bool {
     let (_, out) = harness.request(0, 0, customer, 1.0);
-    let made = counter_calls(&out);
-    for (name, _) in &made {
+    let calls = counter_calls(&out);
+    for (name, _) in &calls {
         harness.handle(Event::CounterReplied { key: *name, outcome: Outcome::Rejected, total: 0.0 });
     }
-    !made.is_empty()
+    !calls.is_empty()
 }
 
-/// Lets the call of one of these customers fail; while calls fail, only a part of the requests query.
-fn fail_one(harness: &mut Harness, from: u64) {
-    assert!((from..from + 100).any(|c| failing(harness, c)), "closed: some request queries");
+/// Fails the counter call of one of 100 customers, since only a share of requests query while calls fail.
+fn fail_one_call(harness: &mut Harness, from: u64) {
+    assert!(
+        (from..from + 100).any(|customer| fail_counter_calls(harness, customer)),
+        "some request queries while the breaker is closed"
+    );
 }
 
-/// Lets three calls fail over some time.
-fn open(harness: &mut Harness) {
-    fail_one(harness, 1_000);
-    fail_one(harness, 1_100);
+/// Opens the breaker with three failed calls over 400 ms.
+fn open_breaker(harness: &mut Harness) {
+    fail_one_call(harness, 1_000);
+    fail_one_call(harness, 1_100);
     harness.advance(400 * MILLISECOND);
-    fail_one(harness, 1_200);
+    fail_one_call(harness, 1_200);
 }
 
 #[test]
-fn three_failures_in_a_row_over_some_time_open_the_breaker() {
+fn three_consecutive_failures_over_some_time_open_the_breaker() {
     let mut harness = Harness::new(settings(), 4);
-    open(&mut harness);
-    assert!((0..200).all(|c| !failing(&mut harness, c)), "open: no request queries");
+    open_breaker(&mut harness);
+    assert!(
+        (0..200).all(|customer| !fail_counter_calls(&mut harness, customer)),
+        "no request queries while the breaker is open"
+    );
 }
 
 #[test]
 fn two_failures_do_not_open_the_breaker() {
     let mut harness = Harness::new(settings(), 4);
-    fail_one(&mut harness, 1_000);
+    fail_one_call(&mut harness, 1_000);
     harness.advance(400 * MILLISECOND);
-    fail_one(&mut harness, 1_100);
-    // While calls fail, only a part of the requests query; among twenty customers some do.
-    let asked = (10..30).filter(|c| !counter_calls(&harness.request(0, 0, *c, 1.0).1).is_empty()).count();
-    assert!(asked > 0);
+    fail_one_call(&mut harness, 1_100);
+    // While calls fail, only a share of requests query; with twenty customers, some do.
+    let querying = (10..30)
+        .filter(|customer| !counter_calls(&harness.request(0, 0, *customer, 1.0).1).is_empty())
+        .count();
+    assert!(querying > 0);
 }
 
 #[test]
-fn calls_late_together_decrease_the_query_share_once_and_do_not_open_the_breaker() {
+fn simultaneous_timeouts_decrease_the_query_share_once_and_do_not_open_the_breaker() {
     let mut harness = Harness::new(settings(), 4);
-    let calls: Vec<_> = (1..=20).flat_map(|c| counter_calls(&harness.request(0, 0, c, 1.0).1)).collect();
+    let calls: Vec<_> =
+        (1..=20).flat_map(|customer| counter_calls(&harness.request(0, 0, customer, 1.0).1)).collect();
     assert_eq!(calls.len(), 20, "all requests query");
     harness.advance(80 * MILLISECOND);
     calls.iter().for_each(|(name, _)| {
         drop(harness.handle(Event::CounterReplied { key: *name, outcome: Outcome::Timeout, total: 0.0 }))
     });
-    let asked = (100..200).filter(|c| !counter_calls(&harness.request(0, 0, *c, 1.0).1).is_empty()).count();
-    assert!((60..100).contains(&asked), "{asked} of 100 query");
+    let querying = (100..200)
+        .filter(|customer| !counter_calls(&harness.request(0, 0, *customer, 1.0).1).is_empty())
+        .count();
+    assert!((60..100).contains(&querying), "{querying} of 100 query");
 }
 
 #[test]
-fn malformed_answers_leave_the_query_share_alone() {
+fn malformed_replies_do_not_change_the_query_share() {
     let mut harness = Harness::new(settings(), 4);
-    for c in 1..=40 {
-        let (_, out) = harness.request(0, 0, c, 1.0);
-        let outcome = if c % 2 == 0 { Outcome::ServerError } else { Outcome::Success };
+    for customer in 1..=40 {
+        let (_, out) = harness.request(0, 0, customer, 1.0);
+        let outcome = if customer % 2 == 0 { Outcome::ServerError } else { Outcome::Success };
         counter_calls(&out).iter().for_each(|(name, x)| {
             drop(harness.handle(Event::CounterReplied { key: *name, outcome, total: *x }))
         });
     }
-    let asked = (100..200).filter(|c| !counter_calls(&harness.request(0, 0, *c, 1.0).1).is_empty()).count();
-    assert_eq!(asked, 100, "all requests query");
+    let querying = (100..200)
+        .filter(|customer| !counter_calls(&harness.request(0, 0, *customer, 1.0).1).is_empty())
+        .count();
+    assert_eq!(querying, 100, "all requests query");
 }
 
 #[test]
 fn under_a_ceiling_units_that_the_counter_confirms_may_be_forwarded_unverified_again() {
-    // Plan 1: ten units a second, twenty at once, a ceiling twice as high, over two gateways. So ten units at
-    // once and five a second may be forwarded unverified here; this customer asks for 6.7, and for 2.2 that are verified.
+    // Plan 1 has ten units per second, a burst of twenty and a ceiling of twice that, over two gateways. This gateway
+    // may forward a burst of ten units and five units per second unverified. The customer requests 6.7 units per second
+    // whose calls fail, and 2.2 units per second that are verified.
     let (mut harness, mut total, mut window) = (Harness::new(settings(), 40), 0.0, CounterKey(0));
     for i in 0..90 {
         harness.advance(if i == 1 { 2 * SECOND } else { 225 * MILLISECOND });
@@ -97,36 +111,38 @@
 #[test]
 fn after_the_cool_down_one_request_probes_and_success_closes_the_breaker() {
     let mut harness = Harness::new(settings(), 4);
-    open(&mut harness);
+    open_breaker(&mut harness);
     harness.advance(SECOND - 1);
-    assert!(!failing(&mut harness, 4), "still cooling down");
+    assert!(!fail_counter_calls(&mut harness, 4), "no request queries during the cool-down");
     harness.advance(1);
     let (_, out) = harness.request(0, 0, 5, 1.0);
     let probe = counter_adds(&out);
-    assert_eq!(probe.len(), 1, "half-open: one probe");
+    assert_eq!(probe.len(), 1, "one probe while half-open");
     assert!(
         counter_calls(&harness.request(0, 0, 6, 1.0).1).is_empty(),
-        "while the probe is under way no other request queries"
+        "no other request queries while the probe is in flight"
     );
     harness.handle(Event::CounterReplied { key: probe[0].0, outcome: Outcome::Success, total: 1.0 });
-    let asked = (10..30).filter(|c| !counter_adds(&harness.request(0, 0, *c, 1.0).1).is_empty()).count();
-    assert!(asked > 0, "closed again");
+    let querying = (10..30)
+        .filter(|customer| !counter_adds(&harness.request(0, 0, *customer, 1.0).1).is_empty())
+        .count();
+    assert!(querying > 0, "the breaker is closed again");
 }
 
 #[test]
 fn a_failed_probe_opens_the_breaker_for_another_cool_down() {
     let mut harness = Harness::new(settings(), 4);
-    open(&mut harness);
+    open_breaker(&mut harness);
     harness.advance(SECOND);
-    assert!(failing(&mut harness, 5), "the probe");
+    assert!(fail_counter_calls(&mut harness, 5), "the first probe fails");
     harness.advance(SECOND - 1);
-    assert!(!failing(&mut harness, 6));
+    assert!(!fail_counter_calls(&mut harness, 6));
     harness.advance(1);
-    assert!(failing(&mut harness, 7), "the next probe");
+    assert!(fail_counter_calls(&mut harness, 7), "the next probe is sent after another cool-down");
 }
 
 #[test]
-fn a_silent_counter_opens_the_breaker_by_timeouts() {
+fn timeouts_of_a_silent_counter_open_the_breaker() {
     let mut harness = Harness::new(settings(), 4);
     for i in 0..200 {
         let calls = counter_calls(&harness.request(0, 0, i, 1.0).1);
@@ -135,46 +151,48 @@
             drop(harness.handle(Event::CounterReplied { key: *name, outcome: Outcome::Timeout, total: 0.0 }))
         });
     }
-    // 16 s: a call every second or so at the most once it is open.
-    let made = counter_calls(&harness.actions).len();
-    assert!((3..=30).contains(&made), "{made} calls");
+    // Over 16 s, at most about one call per second is made once the breaker is open.
+    let calls = counter_calls(&harness.actions).len();
+    assert!((3..=30).contains(&calls), "{calls} calls");
 }
 
 #[test]
-fn one_hot_key_does_not_open_the_breaker_for_every_customer() {
+fn failures_of_one_hot_key_do_not_open_the_breaker_for_all_customers() {
     let mut harness = Harness::new(settings(), 4);
     for _ in 0..40 {
-        failing(&mut harness, 1);
+        fail_counter_calls(&mut harness, 1);
         harness.advance(40 * MILLISECOND);
     }
-    let asked = (10..60).filter(|c| !counter_adds(&harness.request(0, 0, *c, 1.0).1).is_empty()).count();
-    assert!(asked > 0, "others still query");
-    assert!(!failing(&mut harness, 1), "the hot customer's own breaker is open");
+    let querying = (10..60)
+        .filter(|customer| !counter_adds(&harness.request(0, 0, *customer, 1.0).1).is_empty())
+        .count();
+    assert!(querying > 0, "other customers still query");
+    assert!(!fail_counter_calls(&mut harness, 1), "the breaker of the hot key's customer is open");
 }
 
 #[test]
-fn a_counter_that_answers_only_now_and_then_is_queried_seldom() {
+fn a_counter_that_rarely_answers_is_rarely_queried() {
     let mut harness = Harness::new(settings(), 4);
     let mut calls = 0;
     for customer in 100..2_100 {
         harness.advance(10 * MILLISECOND);
         let (_, out) = harness.request(0, 0, customer, 1.0);
         for (name, amount) in counter_calls(&out) {
-            // Two failures, one answer, and again: three in a row never come.
+            // Two failures and one success alternate, so three consecutive failures never occur.
             calls += u32::from(amount != 0.0);
             let outcome = if amount == 0.0 || calls % 3 == 0 { Outcome::Success } else { Outcome::Rejected };
             harness.handle(Event::CounterReplied { key: name, outcome, total: amount });
         }
     }
-    assert!(calls < 200, "{calls} of 2000 requests waited for it");
+    assert!(calls < 200, "{calls} of 2000 requests queried the counter");
 }
 
 #[test]
-fn a_half_open_customer_breaker_does_not_use_up_the_common_probe() {
+fn a_half_open_customer_breaker_does_not_consume_the_shared_probe() {
     let mut harness = Harness::new(settings(), 4);
-    open(&mut harness);
+    open_breaker(&mut harness);
     for _ in 0..3 {
-        failing(&mut harness, 1); // Decided locally.
+        fail_counter_calls(&mut harness, 1); // Decided locally.
     }
     harness.advance(SECOND);
     let (_, out) = harness.request(0, 0, 1, 1.0);
@@ -182,14 +200,15 @@
     assert_eq!(probe.len(), 1);
     harness.handle(Event::CounterReplied { key: probe[0].0, outcome: Outcome::Rejected, total: 0.0 });
     harness.advance(SECOND);
-    assert!(failing(&mut harness, 9), "the probe was not used up");
+    assert!(fail_counter_calls(&mut harness, 9), "the shared probe is still available");
 }
 
-/// Units that four gateways admit, each asked twenty times a second for a minute with the counter silent.
-fn admitted_by_four(sharing: [u32; 4]) -> f64 {
-    let admitted = sharing.map(|sharing| {
+/// Returns the units that four gateways admit without a counter, each with twenty requests per second for a minute.
+/// `known_active` is the number of gateways that each of them sees as active.
+fn admitted_by_four(known_active: [u32; 4]) -> f64 {
+    let admitted = known_active.map(|known_active| {
         let mut harness = Harness::new(Settings { quota_counter: false, gateway_count: 4, ..settings() }, 4);
-        let asked = (0..1_200).filter(|_| {
+        let admitted_requests = (0..1_200).filter(|_| {
             harness.advance(50 * MILLISECOND);
             let id = RequestId(harness.next_request);
             harness.next_request += 1;
@@ -199,7 +218,7 @@
                 request: id,
                 customer,
                 gateway_spread: 4,
-                active_gateways: sharing,
+                active_gateways: known_active,
                 deadline,
                 units,
                 ..Arrival::default()
@@ -211,22 +230,26 @@
                 .for_each(|(id, backend)| drop(harness.end_attempt(*id, 0, *backend, Outcome::Success)));
             admitted
         });
-        asked.count() as f64
+        admitted_requests.count() as f64
     });
     admitted.iter().sum()
 }
 
 #[test]
 fn local_shares_follow_the_active_gateways_and_a_partition_stays_within_its_bound() {
-    // What the quota holds in a minute, and what a share of less than one request may add at each gateway.
-    let (quota, least) = (10.0 * 60.0 + 20.0, 4.0 * 4.0);
-    let whole = admitted_by_four([4; 4]);
-    assert_eq!(whole, admitted_by_four([0; 4]), "with nothing known, all of the spread count");
-    assert!((0.9 * quota..quota + least).contains(&whole), "{whole}");
-    // Three in four see each other, the fourth sees none: 1 + (4 - 3) / 4.
+    // The quota of one minute, and what a local share of less than one request may add at each gateway.
+    let (quota, minimum_shares) = (10.0 * 60.0 + 20.0, 4.0 * 4.0);
+    let unpartitioned = admitted_by_four([4; 4]);
+    assert_eq!(
+        unpartitioned,
+        admitted_by_four([0; 4]),
+        "with no known active gateways, the full gateway spread counts"
+    );
+    assert!((0.9 * quota..quota + minimum_shares).contains(&unpartitioned), "{unpartitioned} of {quota}");
+    // Three of four gateways see each other; the fourth sees none and counts all four: 1 + (4 - 3) / 4.
     let split = admitted_by_four([3, 3, 3, 4]);
-    assert!(split > 1.15 * whole && split < 1.25 * quota + least, "{split} of {quota}");
-    // The worst that shares of a majority can come to, whatever each believes: 4 / 3.
+    assert!(split > 1.15 * unpartitioned && split < 1.25 * quota + minimum_shares, "{split} of {quota}");
+    // The worst case with shares of a majority, whatever each gateway sees: 4 / 3.
     let worst = admitted_by_four([3; 4]);
-    assert!(worst < 4.0 / 3.0 * quota + least, "{worst} of {quota}");
+    assert!(worst < 4.0 / 3.0 * quota + minimum_shares, "{worst} of {quota}");
 }
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -1,19 +1,19 @@
-//! An engine under test, driven through its public interface, with a clock and timers.
-#![allow(dead_code, reason = "each program that shares this file uses a part of it")]
+//! Test harness that drives an engine through its public interface, with a virtual clock and timers.
+#![allow(dead_code, reason = "each test binary uses only some of these helpers")]
 
 use lanespan_policy::*;
 
 pub const MILLISECOND: u64 = 1_000;
 pub const SECOND: u64 = 1_000_000;
 
-pub fn class(effect: Idempotency, group: DeduplicationScope) -> RequestClass {
+pub fn class(idempotency_kind: Idempotency, scope: DeduplicationScope) -> RequestClass {
     RequestClass {
         latency_objective: Micros(800 * MILLISECOND),
         deadline: Micros(3 * SECOND),
         priority_weight: 1.0,
         late_weight_share: 0.0,
-        idempotency: effect,
-        deduplication_scope: group,
+        idempotency: idempotency_kind,
+        deduplication_scope: scope,
         deduplication_window: Micros(SECOND),
         streaming: false,
     }
@@ -33,8 +33,11 @@
     }
 }
 
-/// Classes: 0 idempotent, 1 keyed by cell, 2 non-idempotent, 3 keyed by all. Plans: 0 ten units a second and twenty at
-/// once, 1 the same under a ceiling twice as high, 2 two concurrent requests, 3 no quota.
+/// Returns settings with these classes and plans.
+///
+/// Classes: 0 idempotent, 1 keyed with cell scope, 2 non-idempotent, 3 keyed with the scope of all backends. Plans: 0
+/// ten units per second with a burst of twenty, 1 the same with a ceiling of twice that, 2 two concurrent requests, 3
+/// no quota.
 pub fn settings() -> Settings {
     let ceiling =
         QuotaPlan { ceiling_rate: 20.0, ceiling_burst: 40.0, ceiling_slack: 4.0, ..plan(10.0, 20.0) };
@@ -85,7 +88,7 @@
         let engine = Engine::new(seed, settings).expect("valid settings");
         let mut harness =
             Harness { engine, now: 1_000 * SECOND, actions: Vec::new(), next_request: 1, timers: Vec::new() };
-        let entries = (0..backends).map(|i| endpoint(i, EndpointState::InService, None)).collect();
+        let entries = (0..backends).map(|index| endpoint(index, EndpointState::InService, None)).collect();
         harness.handle(Event::EndpointList { scope: EndpointListScope::Complete, endpoints: entries });
         harness
     }
@@ -101,16 +104,16 @@
         self.actions.extend(out.iter().cloned());
         out
     }
-    /// Advances the clock, fires timers as they come due, and returns their actions.
-    pub fn advance(&mut self, span: u64) -> Vec<Action> {
-        let (end, mut led) = (self.now + span, Vec::new());
+    /// Advances the clock, fires the timers that become due, and returns their actions.
+    pub fn advance(&mut self, duration: u64) -> Vec<Action> {
+        let (end, mut fired) = (self.now + duration, Vec::new());
         while let Some(&(at, id)) = self.timers.iter().filter(|t| t.0 <= end).min_by_key(|t| t.0) {
             self.timers.retain(|t| t.1 != id);
             self.now = self.now.max(at);
-            led.extend(self.handle(Event::TimerFired(id)));
+            fired.extend(self.handle(Event::TimerFired(id)));
         }
         self.now = end;
-        led
+        fired
     }
     pub fn request(
         &mut self,
@@ -136,12 +139,12 @@
         };
         (id, self.handle(Event::RequestArrived(arrival)))
     }
-    /// A request without quota, which is forwarded at once; returns the backend.
+    /// Sends a request without quota, which is forwarded immediately. Returns its id and backend.
     pub fn forward_one(&mut self, class: usize) -> (RequestId, BackendId) {
         let (id, out) = self.request(class, 3, 1, 1.0);
-        (id, forwards(&out).first().expect("it is forwarded").1)
+        (id, forwards(&out).first().expect("the request is forwarded").1)
     }
-    /// Ends an attempt after 50 ms; with success the request is answered.
+    /// Ends an attempt that took 50 ms. On success, the request is answered.
     pub fn end_attempt(
         &mut self,
         request: RequestId,
@@ -160,7 +163,7 @@
             load_report: LoadReport::default(),
         }))
     }
-    /// Ends the first attempt of a request with success after a time in microseconds.
+    /// Ends the first attempt of a request successfully after `elapsed` microseconds.
     pub fn answer_after(
         &mut self,
         request: RequestId,
@@ -181,14 +184,14 @@
     }
 }
 
-pub fn endpoint(i: u32, listed: EndpointState, started: Option<u64>) -> Endpoint {
+pub fn endpoint(index: u32, listed_state: EndpointState, started_at: Option<u64>) -> Endpoint {
     Endpoint {
-        backend: BackendId(u64::from(i)),
+        backend: BackendId(u64::from(index)),
         zone: ZoneId(0),
-        cell: CellId(u64::from(i) / 2),
-        state: listed,
+        cell: CellId(u64::from(index) / 2),
+        state: listed_state,
         weight: 1.0,
-        started_at: started.map(Micros),
+        started_at: started_at.map(Micros),
     }
 }
 
@@ -203,7 +206,7 @@
         })
         .collect()
 }
-/// The calls to the counter that change a count.
+/// Returns the counter calls that change a total.
 pub fn counter_adds(out: &[Action]) -> Vec<(CounterKey, f64)> {
     counter_calls(out).into_iter().filter(|(_, x)| *x != 0.0).collect()
 }
--- a/crates/policy/tests/guarantees.rs
+++ b/crates/policy/tests/guarantees.rs
@@ -1,10 +1,12 @@
-//! What the engine guarantees: one final answer, no effect twice, no work for draining backends, slow start, ceilings.
+//! Tests of the engine's guarantees: one final answer per request, no effect applied twice, no attempts at draining
+//! backends, slow start, and ceilings.
 mod common;
 use common::*;
 use lanespan_policy::*;
 
-fn final_answers(done: &[Action], id: RequestId) -> usize {
-    done.iter()
+fn final_answers(actions: &[Action], id: RequestId) -> usize {
+    actions
+        .iter()
         .filter(|a| matches!(a, Action::Reject { request: r, .. } | Action::Fail(r) if *r == id))
         .count()
 }
@@ -14,7 +16,7 @@
     let mut harness = Harness::new(settings(), 4);
     let (id, _) = harness.forward_one(0);
     harness.advance(3 * SECOND);
-    assert_eq!(final_answers(&harness.actions, id), 1, "no attempt ever ended");
+    assert_eq!(final_answers(&harness.actions, id), 1, "answered by its deadline although no attempt ended");
     harness.advance(10 * SECOND);
     assert_eq!(final_answers(&harness.actions, id), 1);
 }
@@ -28,7 +30,7 @@
 }
 
 #[test]
-fn nothing_is_forwarded_after_the_client_disconnected() {
+fn nothing_is_forwarded_after_a_client_disconnect() {
     let mut harness = Harness::new(settings(), 4);
     let (id, backend) = harness.forward_one(0);
     harness.handle(Event::ClientDisconnected(id));
@@ -36,7 +38,7 @@
     assert!(forwards(&out).is_empty() && final_answers(&out, id) == 0);
     assert!(
         forwards(&harness.end_attempt(id, 0, backend, Outcome::ServerError)).is_empty(),
-        "an outcome reported twice"
+        "nothing is forwarded when the outcome is reported twice"
     );
 }
 
@@ -49,7 +51,7 @@
 }
 
 #[test]
-fn a_non_idempotent_request_that_never_ran_is_retried_elsewhere() {
+fn a_non_idempotent_request_that_never_ran_is_retried_at_another_backend() {
     let mut harness = Harness::new(settings(), 4);
     let (id, backend) = harness.forward_one(2);
     let out = harness.end_attempt(id, 0, backend, Outcome::ConnectFailed);
@@ -79,21 +81,34 @@
 }
 
 #[test]
-fn a_keyed_retry_begins_within_the_deduplication_window_however_long_its_connection_takes() {
+fn a_keyed_retry_must_begin_within_the_deduplication_window_however_long_connecting_takes() {
     let mut config = settings();
     config.classes[1].deduplication_window = Micros(400 * MILLISECOND);
     let begin_by = |out: &[Action]| {
-        out.iter().find_map(|a| if let Action::Forward { begin_by: by, .. } = a { Some(by.0) } else { None })
+        out.iter().find_map(|a| {
+            if let Action::Forward { begin_by: latest_begin, .. } = a {
+                Some(latest_begin.0)
+            } else {
+                None
+            }
+        })
     };
     let mut harness = Harness::new(config, 8);
     let started = harness.now;
     let (id, out) = harness.request(1, 3, 1, 1.0);
-    assert_eq!(begin_by(&out), Some(started + 3 * SECOND), "a first attempt has the client's time");
+    assert_eq!(
+        begin_by(&out),
+        Some(started + 3 * SECOND),
+        "a first attempt may begin until the client's deadline"
+    );
     harness.advance(100 * MILLISECOND);
     let out = harness.end_attempt(id, 0, forwards(&out)[0].1, Outcome::ServerError);
-    let by = begin_by(&out).expect("it is retried");
-    assert!(by < started + 400 * MILLISECOND && by > harness.now, "{by} from {started}");
-    // An attempt that provably never ran opens no window.
+    let latest_begin = begin_by(&out).expect("the request is retried");
+    assert!(
+        latest_begin < started + 400 * MILLISECOND && latest_begin > harness.now,
+        "must begin by {latest_begin}, first attempt at {started}"
+    );
+    // An attempt that provably never ran does not start a deduplication window.
     let (id, out) = harness.request(1, 3, 2, 1.0);
     let out = harness.end_attempt(id, 0, forwards(&out)[0].1, Outcome::Rejected);
     assert_eq!(begin_by(&out), Some(harness.now + 3 * SECOND));
@@ -109,11 +124,11 @@
 
 #[test]
 fn nothing_is_forwarded_to_a_draining_or_removed_backend() {
-    for listed in [EndpointState::Draining, EndpointState::Removed] {
+    for state in [EndpointState::Draining, EndpointState::Removed] {
         let mut harness = Harness::new(settings(), 2);
         harness.handle(Event::EndpointList {
             scope: EndpointListScope::Changes,
-            endpoints: vec![endpoint(0, listed, None)],
+            endpoints: vec![endpoint(0, state, None)],
         });
         for _ in 0..50 {
             let (_, backend) = harness.forward_one(0);
@@ -147,65 +162,69 @@
     assert_eq!(final_answers(&harness.actions, id), 1);
 }
 
-/// Runs a steady flow for five seconds and counts what each backend was sent.
-fn flow(harness: &mut Harness) -> Vec<u32> {
-    let mut got = vec![0; 8];
+/// Sends requests at a steady rate for five seconds and returns the number of attempts at each backend.
+fn steady_load(harness: &mut Harness) -> Vec<u32> {
+    let mut attempts = vec![0; 8];
     for _ in 0..500 {
         harness.advance(10 * MILLISECOND);
         let (id, out) = harness.request(0, 3, 1, 1.0);
         for (_, backend) in forwards(&out) {
-            got[backend.0 as usize] += 1;
+            attempts[backend.0 as usize] += 1;
             harness.end_attempt(id, 0, backend, Outcome::Success);
         }
     }
-    got
+    attempts
 }
 
 #[test]
-fn a_cold_backend_gets_no_more_than_its_share() {
+fn a_cold_backend_gets_at_most_its_share() {
     let mut harness = Harness::new(settings(), 4);
-    flow(&mut harness);
+    steady_load(&mut harness);
     let (now, cold) = (harness.now, 3);
     harness.handle(Event::EndpointList {
         scope: EndpointListScope::Changes,
         endpoints: vec![endpoint(cold, EndpointState::InService, Some(now))],
     });
-    let got = flow(&mut harness);
-    let warm = got[..3].iter().sum::<u32>() / 3;
-    // From a fifth to three fifths of its capacity over these seconds.
-    assert!(got[3] > 0 && got[3] * 2 < warm, "{got:?}");
+    let attempts = steady_load(&mut harness);
+    let warm = attempts[..3].iter().sum::<u32>() / 3;
+    // Its capacity rises from one fifth to three fifths over these five seconds.
+    assert!(attempts[3] > 0 && attempts[3] * 2 < warm, "{attempts:?}");
 }
 
 #[test]
-fn a_restart_that_is_not_listed_yet_begins_slow_start() {
+fn a_restart_missing_from_the_endpoint_list_begins_slow_start() {
     let mut harness = Harness::new(settings(), 2);
-    flow(&mut harness);
+    steady_load(&mut harness);
     for _ in 0..2_000 {
         harness.advance(10 * MILLISECOND);
         let (id, backend) = harness.forward_one(0);
-        let up = harness.now > 1_010 * SECOND;
-        let outcome = if backend == BackendId(0) && !up { Outcome::ConnectFailed } else { Outcome::Success };
+        let is_up = harness.now > 1_010 * SECOND;
+        let outcome =
+            if backend == BackendId(0) && !is_up { Outcome::ConnectFailed } else { Outcome::Success };
         let out = harness.end_attempt(id, 0, backend, outcome);
         for (id, backend) in forwards(&out) {
             harness.end_attempt(id, 1, backend, Outcome::Success);
         }
-        if up && backend == BackendId(0) {
+        if is_up && backend == BackendId(0) {
             break;
         }
     }
-    let got = flow(&mut harness);
-    assert!(got[0] > 0 && got[0] * 3 < got[1] * 2, "{got:?}");
+    let attempts = steady_load(&mut harness);
+    assert!(attempts[0] > 0 && attempts[0] * 3 < attempts[1] * 2, "{attempts:?}");
 }
 
-/// The lowest level of the ceiling's bucket for one customer: two gateways, each
-/// offered all it could want for thirty seconds; `answer` fails a call or gives the share of its
-/// totals the counter still has.
-fn ceiling_low(answer: impl Fn(u64) -> Option<f64>) -> f64 {
-    ceiling_low_with(|n, _| answer(n), |_, _| true)
+/// Returns the lowest level of one customer's ceiling bucket while two gateways get more requests than it allows for
+/// thirty seconds. `answer` fails a counter call with `None`, or returns the share of its totals that the counter kept.
+fn lowest_ceiling_level(answer: impl Fn(u64) -> Option<f64>) -> f64 {
+    lowest_ceiling_level_with(|n, _| answer(n), |_, _| true)
 }
 
-/// The same, with the amount of each call given, and gateways that have traffic only at some steps.
-fn ceiling_low_with(answer: impl Fn(u64, f64) -> Option<f64>, busy: impl Fn(usize, u64) -> bool) -> f64 {
+/// Like [`lowest_ceiling_level`], but `answer` also gets the amount of each call, and `busy` selects the steps in which
+/// a gateway gets a request.
+fn lowest_ceiling_level_with(
+    answer: impl Fn(u64, f64) -> Option<f64>,
+    busy: impl Fn(usize, u64) -> bool,
+) -> f64 {
     let mut totals = std::collections::BTreeMap::new();
     let mut config = settings();
     config.plans[1].over_quota_value = 0.5;
@@ -226,14 +245,18 @@
                 let mut next = Vec::new();
                 for (name, amount) in counter_calls(&pending) {
                     call += 1;
-                    let (mut outcome, mut heard) = (Outcome::Rejected, 0.0);
-                    if let Some(kept) = answer(call, amount) {
-                        totals.values_mut().for_each(|t| *t *= kept);
+                    let (mut outcome, mut reported_total) = (Outcome::Rejected, 0.0);
+                    if let Some(kept_share) = answer(call, amount) {
+                        totals.values_mut().for_each(|total| *total *= kept_share);
                         let total = totals.entry(name).or_insert(0.0);
                         *total += amount;
-                        (outcome, heard) = (Outcome::Success, *total);
+                        (outcome, reported_total) = (Outcome::Success, *total);
                     }
-                    next.extend(harness.handle(Event::CounterReplied { key: name, outcome, total: heard }));
+                    next.extend(harness.handle(Event::CounterReplied {
+                        key: name,
+                        outcome,
+                        total: reported_total,
+                    }));
                 }
                 for (_, backend) in forwards(&pending) {
                     level -= 1.0;
@@ -249,47 +272,48 @@
 
 #[test]
 fn the_ceiling_holds_while_the_counter_answers() {
-    assert!(ceiling_low(|_| Some(1.0)) >= -4.0);
+    assert!(lowest_ceiling_level(|_| Some(1.0)) >= -4.0);
 }
 
 #[test]
 fn the_ceiling_holds_while_the_counter_is_down() {
-    assert!(ceiling_low(|_| None) >= -4.0);
+    assert!(lowest_ceiling_level(|_| None) >= -4.0);
 }
 
 #[test]
-fn the_ceiling_holds_while_the_counter_comes_and_goes() {
+fn the_ceiling_holds_while_the_counter_fails_intermittently() {
     for share in 2..12 {
-        let low = ceiling_low(|n| (n % share == 0).then_some(1.0));
-        assert!(low >= -4.0, "one answer in {share}: {low}");
-        let low = ceiling_low(|n| (n % share != 0).then_some(1.0));
-        assert!(low >= -4.0, "one failure in {share}: {low}");
+        let low = lowest_ceiling_level(|n| (n % share == 0).then_some(1.0));
+        assert!(low >= -4.0, "one call in {share} succeeds: lowest level {low}");
+        let low = lowest_ceiling_level(|n| (n % share != 0).then_some(1.0));
+        assert!(low >= -4.0, "one call in {share} fails: lowest level {low}");
     }
 }
 
 #[test]
-fn the_ceiling_holds_when_the_counter_loses_its_memory() {
+fn the_ceiling_holds_when_the_counter_loses_its_totals() {
     for every in [61, 75, 90, 97, 130, 311, 701] {
-        let low = ceiling_low(|n| Some(if n % every == 0 { 0.0 } else { 1.0 }));
-        assert!(low >= -4.0, "memory lost every {every} calls: {low}");
+        let low = lowest_ceiling_level(|n| Some(if n % every == 0 { 0.0 } else { 1.0 }));
+        assert!(low >= -4.0, "totals lost every {every} calls: lowest level {low}");
     }
 }
 
 #[test]
-fn the_ceiling_holds_when_gateways_alternate_and_each_believes_the_burst_unused() {
-    // Every read of the window before fails; a window of traffic here, then one there.
+fn the_ceiling_holds_when_gateways_alternate_and_each_assumes_an_unused_burst() {
+    // Every read of the previous window fails, and the gateways get traffic in alternate windows.
     for offset in (0..100).step_by(10) {
-        let low = ceiling_low_with(
+        let low = lowest_ceiling_level_with(
             |_, amount| (amount != 0.0).then_some(1.0),
             |harness, step| ((step + offset) / 100) % 2 == harness as u64,
         );
-        assert!(low >= -4.0, "offset {offset}: {low}");
+        assert!(low >= -4.0, "offset {offset}: lowest level {low}");
     }
 }
 
-/// Hundreds of gateways with the same steady flow over one fleet, all notified of a cold backend at once.
+/// Hundreds of gateways with the same steady load learn of one cold backend at the same time. Each may send it little,
+/// but their sum must not overload it.
 #[test]
-fn hundreds_of_gateways_do_not_overload_a_cold_backend_together() {
+fn hundreds_of_gateways_together_do_not_overload_a_cold_backend() {
     let (gateways, backends) = (200, 20);
     let step = |harness: &mut Harness| {
         harness.advance(200 * MILLISECOND);
@@ -314,17 +338,22 @@
             harness
         })
         .collect();
-    // A warm backend gets 50 of these a second; a cold one is overloaded at twice its share of that.
-    let (mut second, mut total) = (std::collections::VecDeque::new(), 0);
+    // A warm backend gets 50 of these requests per second. A cold one is overloaded at twice its share of that.
+    let (mut last_second, mut total) = (std::collections::VecDeque::new(), 0);
     for tick in 0..50 {
-        let got = harnesses.iter_mut().filter_map(|harness| step(harness).then_some(())).count();
-        second.push_back(got);
-        if second.len() > 5 {
-            second.pop_front();
+        let attempts = harnesses.iter_mut().filter_map(|harness| step(harness).then_some(())).count();
+        last_second.push_back(attempts);
+        if last_second.len() > 5 {
+            last_second.pop_front();
         }
-        total += got;
-        let (most, part) = (second.iter().sum::<usize>() as f64, 0.2 + 0.8 * f64::from(tick) / 50.0);
-        assert!(most <= 2.0 * 50.0 * part + 4.0, "{most} in the second before {}", tick);
+        total += attempts;
+        let (in_last_second, capacity_share) =
+            (last_second.iter().sum::<usize>() as f64, 0.2 + 0.8 * f64::from(tick) / 50.0);
+        assert!(
+            in_last_second <= 2.0 * 50.0 * capacity_share + 4.0,
+            "{in_last_second} requests in the second before step {}",
+            tick
+        );
     }
-    assert!(total > 20, "it does get work: {total}");
+    assert!(total > 20, "the cold backend gets requests: {total}");
 }
--- a/crates/policy/tests/large_fleets.rs
+++ b/crates/policy/tests/large_fleets.rs
@@ -1,4 +1,4 @@
-//! What holds where hundreds of gateways see a request or two a second each.
+//! Tests of large fleets, in which each of hundreds of gateways gets one or two requests per second.
 mod common;
 use common::*;
 use lanespan_policy::*;
@@ -12,12 +12,12 @@
     )
 }
 
-/// A request of a customer that comes through many gateways.
+/// Sends a request of a new customer that uses 200 gateways.
 fn thinly_spread(harness: &mut Harness, is_client_retry: bool) -> (RequestId, Vec<Action>) {
     spread_over(harness, 200, harness.next_request + 1, is_client_retry)
 }
 
-/// A request of this customer, who comes through so many gateways.
+/// Sends a request of this customer, which uses `spread` gateways.
 fn spread_over(
     harness: &mut Harness,
     spread: u32,
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn each_gateway_keeps_to_its_subset_and_the_subsets_cover_the_backends_evenly() {
+fn each_gateway_uses_only_its_subset_and_subsets_cover_backends_evenly() {
     let mut gateways_at = BTreeMap::new();
     for gateway_index in 0..100 {
         let mut harness = gateway_of(100, gateway_index, 50);
@@ -57,14 +57,14 @@
         assert!(used.len() <= 12, "gateway {gateway_index} used {} of 50", used.len());
         used.into_keys().for_each(|backend| *gateways_at.entry(backend).or_insert(0) += 1);
     }
-    assert_eq!(gateways_at.len(), 50, "no backend is left out");
-    let (least, most) = (gateways_at.values().min(), gateways_at.values().max());
-    assert!(most <= least.map(|l| l * 4).as_ref(), "{gateways_at:?}");
+    assert_eq!(gateways_at.len(), 50, "every backend is in some subset");
+    let (fewest, most) = (gateways_at.values().min(), gateways_at.values().max());
+    assert!(most <= fewest.map(|l| l * 4).as_ref(), "{gateways_at:?}");
 }
 
 #[test]
 fn late_answers_make_a_sparse_fleet_shed_load_unless_load_reports_show_spare_capacity() {
-    let rejections = |elapsed: u64, busy: Option<f64>| {
+    let rejections = |elapsed: u64, reported_utilization: Option<f64>| {
         let mut harness = gateway_of(200, 3, 50);
         let mut rejections = 0;
         for _ in 0..200 {
@@ -73,8 +73,11 @@
             rejections += u32::from(rejected(&out, id));
             for (_, backend) in forwards(&out) {
                 harness.advance(elapsed);
-                let report =
-                    LoadReport { utilization: busy, queued: busy.map(|_| 0.0), ..LoadReport::default() };
+                let report = LoadReport {
+                    utilization: reported_utilization,
+                    queued: reported_utilization.map(|_| 0.0),
+                    ..LoadReport::default()
+                };
                 harness.answer_after(id, backend, elapsed, report);
             }
         }
@@ -83,19 +86,19 @@
     assert_eq!(rejections(50 * MILLISECOND, None), 0);
     assert!(
         rejections(700 * MILLISECOND, None) > 100,
-        "one at a time, never two in flight, and still it sheds"
+        "late answers cause load shedding although at most one attempt is in flight"
     );
     assert!(rejections(700 * MILLISECOND, Some(0.98)) > 100, "load reports show overload");
     assert_eq!(
         rejections(700 * MILLISECOND, Some(0.6)),
         0,
-        "load reports show spare capacity: the work is long"
+        "load reports show spare capacity: requests take long by themselves"
     );
 }
 
 #[test]
-fn uneven_work_is_not_shed_without_load_reports_while_the_usual_answer_comes_early() {
-    let rejections = |usual: u64, long: u64| {
+fn without_load_reports_uneven_work_is_not_shed_while_typical_latency_is_low() {
+    let rejections = |typical: u64, slow: u64| {
         let mut harness = gateway_of(200, 3, 50);
         let mut rejections = 0;
         for i in 0..300 {
@@ -103,38 +106,45 @@
             let (id, out) = harness.request(0, 3, 1, 1.0);
             rejections += u32::from(rejected(&out, id));
             for (_, backend) in forwards(&out) {
-                let elapsed = if i % 4 == 0 { long } else { usual };
+                let elapsed = if i % 4 == 0 { slow } else { typical };
                 harness.advance(elapsed);
                 harness.answer_after(id, backend, elapsed, LoadReport::default());
             }
         }
         rejections
     };
-    // One in four takes most of the latency objective of 800 ms.
-    assert_eq!(rejections(100 * MILLISECOND, 600 * MILLISECOND), 0, "the work is uneven");
-    assert!(rejections(500 * MILLISECOND, 600 * MILLISECOND) > 100, "the usual answer is late as well");
-    assert!(rejections(100 * MILLISECOND, 900 * MILLISECOND) > 20, "too many miss the latency objective");
+    // One request in four takes most of the latency objective of 800 ms.
+    assert_eq!(
+        rejections(100 * MILLISECOND, 600 * MILLISECOND),
+        0,
+        "a few requests take long, typical latency is low"
+    );
+    assert!(rejections(500 * MILLISECOND, 600 * MILLISECOND) > 100, "typical latency is high as well");
+    assert!(
+        rejections(100 * MILLISECOND, 900 * MILLISECOND) > 20,
+        "too many requests miss the latency objective"
+    );
 }
 
 #[test]
-fn while_calls_fail_first_tries_are_decided_locally_and_retries_are_not() {
+fn while_calls_fail_first_requests_are_decided_locally_and_client_retries_are_not() {
     let mut harness = gateway_of(200, 3, 50);
-    let mut went = [0, 0];
+    let mut forwarded_unverified = [0, 0];
     for i in 0..300 {
         harness.advance(300 * MILLISECOND);
         let is_client_retry = i % 2 == 1;
         let (id, mut out) = thinly_spread(&mut harness, is_client_retry);
-        // Every fifth call is rejected, so the breaker stays closed.
+        // One call in five is rejected, so the breaker stays closed.
         for (name, _) in counter_calls(&out) {
             let outcome = if i % 5 == 0 { Outcome::Rejected } else { Outcome::Success };
             out.extend(harness.handle(Event::CounterReplied { key: name, outcome, total: 2.0 }));
         }
-        let guessed = i % 5 == 0 && !forwards(&out).is_empty();
-        went[usize::from(is_client_retry)] += u32::from(guessed);
+        let is_unverified = i % 5 == 0 && !forwards(&out).is_empty();
+        forwarded_unverified[usize::from(is_client_retry)] += u32::from(is_unverified);
         forwards(&out).iter().for_each(|(_, s)| drop(harness.end_attempt(id, 0, *s, Outcome::Success)));
     }
-    assert!(went[0] > 10, "first tries: {went:?}");
-    assert_eq!(went[1], 0, "retries");
+    assert!(forwarded_unverified[0] > 10, "first requests forwarded: {forwarded_unverified:?}");
+    assert_eq!(forwarded_unverified[1], 0, "client retries forwarded");
 }
 
 #[test]
@@ -151,8 +161,8 @@
 }
 
 #[test]
-fn with_the_counter_down_hundreds_of_gateways_keep_a_ceiling_together() {
-    // 20 units a second up to 40, over 200 gateways that each have a request every second.
+fn with_the_counter_down_hundreds_of_gateways_together_keep_a_ceiling() {
+    // The ceiling is 20 units per second with a burst of 40. Each of 200 gateways gets one request per second.
     let mut harnesses: Vec<Harness> =
         (0..200).map(|gateway_index| gateway_of(200, gateway_index, 50)).collect();
     let (mut level, mut lowest) = (40.0f64, 40.0f64);
@@ -186,12 +196,13 @@
             forwards(&out).iter().for_each(|(_, s)| drop(harness.end_attempt(id, 0, *s, Outcome::Success)));
         }
     }
-    assert!(lowest >= -4.0, "{lowest}");
+    assert!(lowest >= -4.0, "lowest level {lowest}");
 }
 
-/// 100 gateways with steady flows over 60 backends, notified that one has just started.
+/// 100 gateways with steady load over 60 backends are notified that one backend has just started. The cold backend must
+/// neither stay unused nor get more than it can handle from all gateways together.
 #[test]
-fn a_cold_backend_gets_its_share_of_the_work_from_the_start_and_never_too_much() {
+fn a_cold_backend_gets_work_from_the_start_and_is_never_overloaded() {
     let cold = BackendId(30);
     let step = |harness: &mut Harness| {
         harness.advance(125 * MILLISECOND);
@@ -210,32 +221,34 @@
         let endpoints = vec![endpoint(30, EndpointState::InService, Some(harness.now))];
         harness.handle(Event::EndpointList { scope: EndpointListScope::Changes, endpoints });
     }
-    let got: Vec<usize> = (0..72).map(|_| harnesses.iter_mut().map(step).sum()).collect();
-    // A warm backend bears 800 / 60 a second; this one from 0.2 of that up to all of it after 10 s.
-    let present = |i: usize| 800.0 / 60.0 * (0.2 + 0.8 * i as f64 / 80.0);
-    for (i, second) in got.windows(8).enumerate() {
+    let requests_per_step: Vec<usize> = (0..72).map(|_| harnesses.iter_mut().map(step).sum()).collect();
+    // A warm backend gets 800 / 60 requests per second. The cold one handles 0.2 of that at first and all of it after
+    // 10 s.
+    let capacity_at = |i: usize| 800.0 / 60.0 * (0.2 + 0.8 * i as f64 / 80.0);
+    for (i, second) in requests_per_step.windows(8).enumerate() {
         let sum = second.iter().sum::<usize>() as f64;
-        assert!(sum <= 2.0 * present(i), "{sum} in the second from {i}");
+        assert!(sum <= 2.0 * capacity_at(i), "{sum} requests in the second from step {i}");
     }
-    let first_half = got[..36].iter().sum::<usize>() as f64;
-    let share = first_half / (0..36).map(|i| present(i) / 8.0).sum::<f64>();
-    assert!(share > 0.2, "{share} of what it could do: {got:?}");
+    let first_half = requests_per_step[..36].iter().sum::<usize>() as f64;
+    let share = first_half / (0..36).map(|i| capacity_at(i) / 8.0).sum::<f64>();
+    assert!(share > 0.2, "{share} of its capacity used: {requests_per_step:?}");
 }
 
-/// The requests that chance explains, by the number that a cold backend bears in the time that overloads it.
-fn beyond_chance(bears: f64) -> f64 {
-    bears + 2.0 * bears.sqrt() + 2.0
+/// Returns the number of requests that random variation explains, given the number that a cold backend can handle in
+/// the time that overloads it.
+fn max_with_random_variation(capacity: f64) -> f64 {
+    capacity + 2.0 * capacity.sqrt() + 2.0
 }
 
 #[test]
-fn thirty_gateways_with_uneven_traffic_do_not_overload_a_cold_backend_beyond_chance() {
+fn thirty_gateways_with_uneven_traffic_do_not_overload_a_cold_backend_beyond_random_variation() {
     const GATEWAYS: u32 = 30;
     const BACKENDS: u32 = 20;
     let config = Settings { gateway_count: GATEWAYS, ..settings() };
     let cold = BackendId(7);
     let window = (config.overload_after.0 / (25 * MILLISECOND)) as usize;
     for seed in 0..10 {
-        let mut draw = drawn_numbers(seed);
+        let mut next_random = random_numbers(seed);
         let mut harnesses: Vec<Harness> = (0..GATEWAYS)
             .map(|gateway_index| {
                 Harness::seeded(
@@ -245,13 +258,13 @@
                 )
             })
             .collect();
-        // Some get four times as much as others, and it comes in bursts of three.
+        // One gateway in five gets four times as many requests as the others, and requests arrive in bursts of three.
         let mut step = |harnesses: &mut Vec<Harness>| {
             let mut at_cold = 0;
             for (gateway_index, harness) in harnesses.iter_mut().enumerate() {
                 harness.advance(25 * MILLISECOND);
-                let often = if gateway_index % 5 == 0 { 0.4 } else { 0.1 };
-                if draw() >= often {
+                let request_probability = if gateway_index % 5 == 0 { 0.4 } else { 0.1 };
+                if next_random() >= request_probability {
                     continue;
                 }
                 for _ in 0..3 {
@@ -269,22 +282,28 @@
             let endpoints = vec![endpoint(7, EndpointState::InService, Some(harness.now))];
             harness.handle(Event::EndpointList { scope: EndpointListScope::Changes, endpoints });
         }
-        let got: Vec<usize> = (0..400).map(|_| step(&mut harnesses)).collect();
-        // What a warm backend gets a second; a cold one bears a multiple of its share of that.
+        let requests_per_step: Vec<usize> = (0..400).map(|_| step(&mut harnesses)).collect();
+        // Requests per second at a warm backend. A cold one handles `overload_multiple` times its capacity share of
+        // that.
         let warm = 40.0 * 3.0 * (6.0 * 0.4 + 24.0 * 0.1) / f64::from(BACKENDS);
-        for (i, second) in got.windows(window).enumerate() {
-            let part = config.cold_capacity_share + (1.0 - config.cold_capacity_share) * i as f64 / 400.0;
-            let bears = config.overload_multiple * part * warm * config.overload_after.as_secs_f64();
+        for (i, second) in requests_per_step.windows(window).enumerate() {
+            let capacity_share =
+                config.cold_capacity_share + (1.0 - config.cold_capacity_share) * i as f64 / 400.0;
+            let capacity =
+                config.overload_multiple * capacity_share * warm * config.overload_after.as_secs_f64();
             let sum = second.iter().sum::<usize>() as f64;
-            assert!(sum <= beyond_chance(bears), "seed {seed}: {sum} from step {i}, {bears} can be borne");
+            assert!(
+                sum <= max_with_random_variation(capacity),
+                "seed {seed}: {sum} requests from step {i}, capacity {capacity}"
+            );
         }
-        let all = got.iter().sum::<usize>() as f64;
-        assert!(all > 0.2 * 0.6 * warm * 10.0, "seed {seed}: it is used: {all}");
+        let total = requests_per_step.iter().sum::<usize>() as f64;
+        assert!(total > 0.2 * 0.6 * warm * 10.0, "seed {seed}: the cold backend got {total} requests");
     }
 }
 
-/// Numbers from 0 to 1, the same for one seed.
-fn drawn_numbers(seed: u64) -> impl FnMut() -> f64 {
+/// Returns a generator of random numbers from 0 to 1, determined by the seed.
+fn random_numbers(seed: u64) -> impl FnMut() -> f64 {
     let mut state = seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1;
     move || {
         state ^= state << 13;
@@ -296,7 +315,7 @@
 
 #[test]
 fn preconnecting_is_allowed_where_the_engine_would_forward() {
-    let (cold, failing, draining, sound) = (BackendId(30), BackendId(31), BackendId(32), BackendId(33));
+    let (cold, failing, draining, healthy) = (BackendId(30), BackendId(31), BackendId(32), BackendId(33));
     let mut harnesses: Vec<Harness> =
         (0..100).map(|gateway_index| gateway_of(100, gateway_index, 60)).collect();
     let step = |harness: &mut Harness| {
@@ -322,28 +341,28 @@
                 .filter_map(|r| r.engine.may_preconnect(Micros(r.now), backend).then_some(()))
                 .count()
         };
-        assert_eq!((may(draining), may(sound), may(BackendId(99))), (0, 100, 0));
+        assert_eq!((may(draining), may(healthy), may(BackendId(99))), (0, 100, 0));
         at_cold.push(may(cold));
         at_failing += usize::from(may(failing) == 100);
     }
-    // All gateways together may send a few requests in each quarter of a second.
+    // All gateways together may send a few requests to the cold backend in each time slot of a quarter of a second.
     assert!(at_cold.iter().all(|may| *may <= 10), "{at_cold:?}");
     assert!(at_cold.iter().sum::<usize>() > 0, "{at_cold:?}");
-    assert_eq!(at_failing, 0, "gateways that met it leave it alone");
+    assert_eq!(at_failing, 0, "gateways that tried the failing backend do not preconnect to it");
 }
 
 #[test]
-fn scarce_counter_calls_go_first_to_requests_with_the_highest_stake() {
+fn scarce_counter_calls_go_first_to_requests_with_the_highest_over_quota_cost() {
     let mut config = Settings { gateway_count: 100, ..settings() };
     config.plans = vec![plan(10.0, 20.0), QuotaPlan { over_quota_cost: 0.0, ..plan(10.0, 20.0) }];
     let mut harness = Harness::seeded(3, config, 60);
-    let mut asked = [0, 0];
+    let mut counter_calls_made = [0, 0];
     for i in 0..400 {
         harness.advance(125 * MILLISECOND);
         let plan = i / 3 % 2;
         let (id, mut out) = harness.request(0, plan, 1_000 + i as u64, 1.0);
         let calls = counter_calls(&out);
-        asked[plan] += calls.len();
+        counter_calls_made[plan] += calls.len();
         for (name, _) in calls {
             // One call in three is rejected.
             let outcome = if i % 3 == 0 { Outcome::Rejected } else { Outcome::Success };
@@ -351,13 +370,17 @@
         }
         forwards(&out).iter().for_each(|(_, s)| drop(harness.end_attempt(id, 0, *s, Outcome::Success)));
     }
-    assert!(asked[0] > 2 * asked[1] && asked[1] > 0, "with and without a cost: {asked:?}");
+    assert!(
+        counter_calls_made[0] > 2 * counter_calls_made[1] && counter_calls_made[1] > 0,
+        "calls with and without an over-quota cost: {counter_calls_made:?}"
+    );
 }
 
 #[test]
-fn a_window_that_no_gateway_followed_grants_a_share_of_its_refill_while_all_requests_query() {
+fn a_window_that_no_gateway_tracked_grants_a_share_of_its_refill_while_all_requests_query() {
     let mut harness = gateway_of(100, 3, 60);
-    // Customers that come once, each with this total in its window: 20 units at once and 20 in its two seconds.
+    // Each customer sends one request, and its window has this total. The quota is a burst of 20 units and 20 units of
+    // refill in the two seconds of the window.
     let mut admitted = |requests: u64, total: f64| {
         let mut admitted = 0;
         for _ in 0..requests {
@@ -376,31 +399,37 @@
         }
         admitted
     };
-    assert_eq!(admitted(100, 2.0), 100, "by then every request queries");
-    let late_in_the_window = admitted(100, 22.0);
-    assert!((40..90).contains(&late_in_the_window), "{late_in_the_window}");
-    assert_eq!(admitted(100, 27.0), 0, "never the whole refill");
+    assert_eq!(admitted(100, 2.0), 100, "every request queries by then and is admitted");
+    let with_partial_refill = admitted(100, 22.0);
+    assert!((40..90).contains(&with_partial_refill), "{with_partial_refill} of 100 admitted");
+    assert_eq!(admitted(100, 27.0), 0, "the full refill is never granted");
 }
 
 /// Sends one request through the engine.
 type SendRequest = dyn Fn(&mut Harness) -> (RequestId, Vec<Action>);
 
-/// Ends the attempts with success; whether there were any.
-fn served(harness: &mut Harness, id: RequestId, out: &[Action]) -> bool {
+/// Ends the forwarded attempts successfully. Returns whether there were any.
+fn end_successfully(harness: &mut Harness, id: RequestId, out: &[Action]) -> bool {
     forwards(out)
         .iter()
         .for_each(|(_, backend)| drop(harness.end_attempt(id, 0, *backend, Outcome::Success)));
     !forwards(out).is_empty()
 }
 
-/// Requests at a counter that answers after `wait` with this total: how many did not query it, and how
-/// many of these were forwarded.
-fn rounds(harness: &mut Harness, many: u32, wait: u64, total: f64, send: &SendRequest) -> (u32, u32) {
+/// Sends requests while the counter replies after `reply_delay` with this total. Returns how many did not query it, and
+/// how many of those were forwarded.
+fn count_unverified(
+    harness: &mut Harness,
+    requests_sent: u32,
+    reply_delay: u64,
+    total: f64,
+    send: &SendRequest,
+) -> (u32, u32) {
     let (mut unverified, mut sent) = (0, 0);
-    for _ in 0..many {
+    for _ in 0..requests_sent {
         let (id, mut out) = send(harness);
         let calls = counter_calls(&out);
-        harness.advance(wait);
+        harness.advance(reply_delay);
         for (name, _) in &calls {
             out.extend(harness.handle(Event::CounterReplied {
                 key: *name,
@@ -408,80 +437,86 @@
                 total,
             }));
         }
-        let went = served(harness, id, &out);
+        let was_forwarded = end_successfully(harness, id, &out);
         if calls.is_empty() {
             unverified += 1;
-            sent += u32::from(went);
+            sent += u32::from(was_forwarded);
         }
     }
     (unverified, sent)
 }
 
-/// Answers slow enough to keep the query share down, and fast enough to let it rise.
-const SLOW: u64 = 50 * MILLISECOND;
-const SOON: u64 = 10 * MILLISECOND;
+/// Reply delays: `SLOW_REPLY` keeps the query share low, and `FAST_REPLY` lets it rise.
+const SLOW_REPLY: u64 = 50 * MILLISECOND;
+const FAST_REPLY: u64 = 10 * MILLISECOND;
 
-fn first_try(harness: &mut Harness) -> (RequestId, Vec<Action>) {
+fn first_request(harness: &mut Harness) -> (RequestId, Vec<Action>) {
     thinly_spread(harness, false)
 }
 
-/// A request of a customer whose local share of the burst is ten units.
+/// Sends a request of a new customer whose local share of the burst is ten units.
 fn concentrated(harness: &mut Harness) -> (RequestId, Vec<Action>) {
     harness.request(0, 0, 1_000_000 + harness.next_request, 2.0)
 }
 
-/// A gateway that has learned from the totals of many first tries.
+/// Returns a gateway that has learned the totals of its plan from many first requests.
 fn with_learned_totals(plan: QuotaPlan, total: f64) -> Harness {
     let config = Settings { gateway_count: 200, plans: vec![plan], ..settings() };
     let mut harness = Harness::seeded(3, config, 50);
-    rounds(&mut harness, 600, SLOW, total, &first_try);
+    count_unverified(&mut harness, 600, SLOW_REPLY, total, &first_request);
     harness
 }
 
-/// The share of first tries that it then forwards unverified.
+/// Returns the share of unverified first requests that such a gateway forwards.
 fn share_forwarded_unverified(plan: QuotaPlan, total: f64) -> f64 {
-    let (unverified, sent) = rounds(&mut with_learned_totals(plan, total), 600, SLOW, total, &first_try);
-    assert!(unverified > 100, "{unverified} were not verified");
+    let (unverified, sent) =
+        count_unverified(&mut with_learned_totals(plan, total), 600, SLOW_REPLY, total, &first_request);
+    assert!(unverified > 100, "{unverified} requests were unverified");
     f64::from(sent) / f64::from(unverified)
 }
 
 #[test]
-fn first_tries_are_forwarded_unverified_as_often_as_it_pays_by_what_is_known_of_their_plan() {
+fn first_requests_are_forwarded_unverified_according_to_their_expected_value_for_the_plan() {
     let costly = plan(10.0, 20.0);
     let free = QuotaPlan { over_quota_cost: 0.0, ..plan(10.0, 20.0) };
-    let earns = QuotaPlan { over_quota_value: 1.0, ..plan(10.0, 20.0) };
+    let valuable = QuotaPlan { over_quota_value: 1.0, ..plan(10.0, 20.0) };
     assert_eq!(
         share_forwarded_unverified(costly.clone(), 2.0),
         1.0,
-        "their quotas are known to be nearly unused"
+        "the customers' quotas are known to be nearly unused"
+    );
+    // The local share of the burst is a tenth of a unit, 1/40 of the largest request.
+    let used_up = share_forwarded_unverified(costly, 60.0);
+    assert!(used_up < 0.05, "{used_up}: the customers' quotas are known to be used up");
+    assert_eq!(share_forwarded_unverified(free, 60.0), 1.0, "requests over the quota cost nothing");
+    assert_eq!(
+        share_forwarded_unverified(valuable, 60.0),
+        1.0,
+        "requests over the quota have as much value as cost"
     );
-    // The local share of the burst is a tenth of a unit, one in forty of the largest request.
-    let few = share_forwarded_unverified(costly, 60.0);
-    assert!(few < 0.05, "{few}: their quotas are known to be used up");
-    assert_eq!(share_forwarded_unverified(free, 60.0), 1.0, "beyond the quota costs nothing");
-    assert_eq!(share_forwarded_unverified(earns, 60.0), 1.0, "or earns as much as it costs");
 }
 
 #[test]
 fn unreported_units_of_other_gateways_are_estimated_by_the_share_reported_here() {
-    // 2 of 12 units are the request's own. Of the units forwarded here one in five or less is reported, so the others are
-    // taken to have forwarded 50 of a burst of 20, until so few are unverified that most is reported.
-    let some = share_forwarded_unverified(plan(10.0, 20.0), 12.0);
-    assert!(some < 0.9, "{some}: the customers are taken for idle");
-    assert!(some > 0.02, "{some}: the reported share was not learned anew");
+    // 2 of the 12 units are the request's own. At most one in five units forwarded here is reported, so the other
+    // gateways are assumed to have forwarded 50 units of a burst of 20, until so few requests are unverified that most
+    // are reported.
+    let share = share_forwarded_unverified(plan(10.0, 20.0), 12.0);
+    assert!(share < 0.9, "{share}: the customers are treated as idle");
+    assert!(share > 0.02, "{share}: the reported share was not updated");
 }
 
 #[test]
-fn odds_of_thinly_spread_customers_bind_others_little_and_not_while_the_counter_is_silent() {
+fn estimates_from_thinly_spread_customers_affect_others_little_and_not_while_the_counter_is_silent() {
     let mut harness = with_learned_totals(plan(10.0, 20.0), 60.0);
-    let (unverified, sent) = rounds(&mut harness, 60, SLOW, 60.0, &concentrated);
+    let (unverified, sent) = count_unverified(&mut harness, 60, SLOW_REPLY, 60.0, &concentrated);
     assert!(unverified > 20 && unverified == sent, "{sent} of {unverified}");
-    // Each of six gateways has a local share of five sixths of a request: so often one may be forwarded.
-    let (unverified, sent) = rounds(&mut harness, 200, SLOW, 60.0, &|harness| {
+    // Each of six gateways has a local share of five sixths of a request, so it may forward that share of the requests.
+    let (unverified, sent) = count_unverified(&mut harness, 200, SLOW_REPLY, 60.0, &|harness| {
         spread_over(harness, 6, 1_000_000 + harness.next_request, false)
     });
     assert!(unverified > 100 && sent * 10 > unverified * 7 && sent < unverified, "{sent} of {unverified}");
-    // The counter falls silent: then local buckets are all there is, and each starts with one request.
+    // Once the counter is silent, only the local buckets decide, and each starts with one request.
     while !harness.engine.snapshot().breaker_open {
         let (_, out) = thinly_spread(&mut harness, false);
         harness.advance(100 * MILLISECOND);
@@ -494,42 +529,42 @@
 }
 
 #[test]
-fn a_customer_with_a_known_total_in_this_window_is_judged_by_it_alone() {
+fn a_known_total_in_the_current_window_alone_decides_for_its_customer() {
     let mut harness = with_learned_totals(plan(10.0, 20.0), 60.0);
-    let (mut again, mut sent) = (0, 0);
-    while again < 10 {
+    let (mut decided_locally, mut sent) = (0, 0);
+    while decided_locally < 10 {
         let customer = 1_000_000 + harness.next_request;
         let (id, out) = spread_over(&mut harness, 200, customer, false);
         let calls = counter_calls(&out);
-        harness.advance(SLOW);
+        harness.advance(SLOW_REPLY);
         let Some((name, _)) = calls.first() else {
-            served(&mut harness, id, &out);
+            end_successfully(&mut harness, id, &out);
             continue;
         };
         let out = harness.handle(Event::CounterReplied { key: *name, outcome: Outcome::Success, total: 2.0 });
-        served(&mut harness, id, &out);
-        harness.advance(SLOW);
-        // Its quota was known to be nearly unused a moment ago.
+        end_successfully(&mut harness, id, &out);
+        harness.advance(SLOW_REPLY);
+        // The last reply showed that its quota is nearly unused.
         let (id, out) = spread_over(&mut harness, 200, customer, false);
-        let went = served(&mut harness, id, &out);
+        let was_forwarded = end_successfully(&mut harness, id, &out);
         if counter_calls(&out).is_empty() {
-            again += 1;
-            sent += u32::from(went);
+            decided_locally += 1;
+            sent += u32::from(was_forwarded);
         }
     }
-    assert_eq!(sent, again);
+    assert_eq!(sent, decided_locally);
 }
 
 #[test]
-fn retries_and_concentrated_customers_teach_nothing_of_thinly_spread_first_tries() {
-    // Who was rejected a moment ago has no quota left: that is why it comes again.
+fn retries_and_concentrated_customers_do_not_affect_estimates_for_thinly_spread_first_requests() {
+    // A client retries because it was just rejected, so its quota is used up.
     let repeat = |harness: &mut Harness| thinly_spread(harness, true);
     for other in [&repeat as &SendRequest, &concentrated] {
         let mut harness = with_learned_totals(plan(10.0, 20.0), 2.0);
-        rounds(&mut harness, 1_000, SOON, 2.0, &first_try);
-        let (unverified, _) = rounds(&mut harness, 300, SOON, 60.0, other);
-        assert!(unverified < 30, "{unverified}: their requests query the counter");
-        let (unverified, sent) = rounds(&mut harness, 300, SLOW, 2.0, &first_try);
+        count_unverified(&mut harness, 1_000, FAST_REPLY, 2.0, &first_request);
+        let (unverified, _) = count_unverified(&mut harness, 300, FAST_REPLY, 60.0, other);
+        assert!(unverified < 30, "{unverified} unverified requests: these requests query the counter");
+        let (unverified, sent) = count_unverified(&mut harness, 300, SLOW_REPLY, 2.0, &first_request);
         assert!(unverified > 100 && unverified == sent, "{sent} of {unverified}");
     }
 }
--- a/crates/policy/tests/quota_window.rs
+++ b/crates/policy/tests/quota_window.rs
@@ -1,9 +1,9 @@
-//! Quota windows, refunds, lost counts, the local bucket and the cap on concurrent requests.
+//! Tests of quota windows, refunds, lost counts, the local bucket and the cap on concurrent requests.
 mod common;
 use common::*;
 use lanespan_policy::*;
 
-/// A request whose call to the counter is answered with this total.
+/// Sends a request and answers its counter call with this total.
 fn with_total(harness: &mut Harness, units: f64, total: f64) -> (RequestId, Vec<Action>) {
     let (id, out) = harness.request(0, 0, 1, units);
     let add = counter_adds(&out);
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_request_that_just_fills_the_window_is_forwarded() {
+fn a_request_that_exactly_fills_the_window_is_forwarded() {
     let mut harness = Harness::new(settings(), 4);
     let (_, out) = with_total(&mut harness, 2.0, 20.0);
     assert_eq!(forwards(&out).len(), 1);
@@ -35,7 +35,7 @@
 #[test]
 fn beyond_the_quota_a_request_is_rejected_with_retry_after() {
     let mut harness = Harness::new(settings(), 4);
-    // Far beyond what any bucket can hold: twice the burst and more.
+    // The total exceeds twice the burst, which is more than any bucket can hold.
     let (id, out) = with_total(&mut harness, 4.0, 43.0);
     let Some(Action::Reject { retry_after: Some(wait), .. }) =
         out.iter().find(|a| matches!(a, Action::Reject { request: r, .. } if *r == id))
@@ -44,7 +44,8 @@
     };
     assert!(wait.0 > 0 && wait.0 <= 2 * SECOND);
     assert!(forwards(&out).is_empty());
-    // No gateway could use what the add takes up: it goes back with the next call, no call is spent on it.
+    // No gateway could use the units of the rejected add. They are refunded with the next call, without one of their
+    // own.
     assert!(counter_adds(&out).is_empty());
 }
 
@@ -76,11 +77,11 @@
 }
 
 #[test]
-fn a_counter_that_lost_its_memory_is_sent_our_units_again() {
+fn units_are_sent_again_after_the_counter_lost_its_totals() {
     let mut harness = Harness::new(settings(), 4);
     with_total(&mut harness, 4.0, 4.0);
     with_total(&mut harness, 4.0, 8.0);
-    // The counter has lost its memory: only this add is there.
+    // The counter has lost its totals: its reply contains only this add.
     let (_, out) = with_total(&mut harness, 2.0, 2.0);
     assert_eq!(counter_adds(&out).iter().map(|a| a.1).sum::<f64>(), 8.0);
 }
@@ -102,7 +103,7 @@
 fn units_admitted_locally_are_sent_with_the_next_call() {
     let mut harness = Harness::new(settings(), 4);
     let (_, out) = harness.request(0, 0, 1, 2.0);
-    // The call is rejected, so nothing was added: the local bucket admits the request.
+    // The rejected call added nothing, and the local bucket admits the request.
     let out = harness.handle(Event::CounterReplied {
         key: counter_adds(&out)[0].0,
         outcome: Outcome::Rejected,
@@ -110,7 +111,10 @@
     });
     assert_eq!(forwards(&out).len(), 1);
     let next = (0..50).find_map(|_| counter_adds(&harness.request(0, 0, 1, 1.0).1).first().map(|a| a.1));
-    assert!(next.expect("some request queries") >= 3.0, "its own unit and those forwarded unverified");
+    assert!(
+        next.expect("some request queries the counter") >= 3.0,
+        "the request's own unit and those forwarded unverified"
+    );
 }
 
 #[test]
@@ -118,18 +122,18 @@
     let mut config = settings();
     config.quota_counter = false;
     let mut harness = Harness::new(config, 8);
-    let mut through = 0;
+    let mut admitted = 0;
     for _ in 0..400 {
         harness.advance(100 * MILLISECOND);
         let (id, out) = harness.request(0, 0, 1, 1.0);
         assert!(counter_calls(&out).is_empty());
         if let Some((_, backend)) = forwards(&out).first() {
-            through += 1;
+            admitted += 1;
             harness.end_attempt(id, 0, *backend, Outcome::Success);
         }
     }
-    // 40 s at a share of 5 units a second, and at most one burst's share on top.
-    assert!((190..=212).contains(&through), "{through}");
+    // 40 s at a local share of 5 units per second, plus at most the local share of one burst.
+    assert!((190..=212).contains(&admitted), "{admitted} requests admitted");
 }
 
 #[test]
@@ -146,12 +150,12 @@
     let (id, out) = harness.request(0, 2, 1, 1.0);
     assert_eq!(counter_adds(&out), [(name, 1.0)]);
     let out = harness.handle(Event::CounterReplied { key: name, outcome: Outcome::Success, total: 3.0 });
-    assert!(rejected(&out, id), "two run elsewhere");
-    assert_eq!(counter_adds(&out), [(name, -1.0)], "and the slot is released");
+    assert!(rejected(&out, id), "two requests run elsewhere");
+    assert_eq!(counter_adds(&out), [(name, -1.0)], "the slot is released");
 }
 
 #[test]
-fn a_reply_to_a_call_never_made_changes_nothing() {
+fn a_reply_without_a_call_is_ignored() {
     let mut harness = Harness::new(settings(), 4);
     assert!(harness
         .handle(Event::CounterReplied { key: CounterKey(5), outcome: Outcome::Success, total: 1.0 })
@@ -159,10 +163,10 @@
 }
 
 #[test]
-fn unverified_a_gateway_that_carries_nearly_all_gets_the_larger_share() {
-    let passed = |others: f64| {
+fn a_gateway_with_nearly_all_traffic_gets_a_larger_share_of_unverified_requests() {
+    let admitted_unverified = |others: f64| {
         let mut harness = Harness::new(settings(), 8);
-        // Four windows in which this gateway adds four units of a total that others raise.
+        // In each of four windows, this gateway adds 4 units and other gateways add `others`.
         for _ in 0..4 {
             harness.advance(2 * SECOND);
             let (id, out) = harness.request(0, 0, 1, 4.0);
@@ -175,7 +179,7 @@
                     .for_each(|(_, s)| drop(harness.end_attempt(id, 0, *s, Outcome::Success)));
             }
         }
-        let mut passed = 0;
+        let mut admitted_unverified = 0;
         for _ in 0..300 {
             harness.advance(100 * MILLISECOND);
             let (id, mut out) = harness.request(0, 0, 1, 1.0);
@@ -186,11 +190,11 @@
                     total: 0.0,
                 }));
             }
-            passed += forwards(&out).len();
+            admitted_unverified += forwards(&out).len();
             forwards(&out).iter().for_each(|(_, s)| drop(harness.end_attempt(id, 0, *s, Outcome::Success)));
         }
-        passed
+        admitted_unverified
     };
-    let (alone, beside) = (passed(0.0), passed(12.0));
-    assert!(alone * 4 > beside * 5, "{alone} against {beside}");
+    let (alone, beside) = (admitted_unverified(0.0), admitted_unverified(12.0));
+    assert!(alone * 4 > beside * 5, "{alone} admitted alone, {beside} beside other gateways");
 }
--- a/crates/policy/tests/streams.rs
+++ b/crates/policy/tests/streams.rs
@@ -1,10 +1,10 @@
-//! Long transfers: responses that have started, and uploads that can't be sent again.
+//! Tests of long transfers: responses that have started, and uploads that cannot be sent again.
 mod common;
 use common::*;
 use lanespan_policy::*;
 
-/// Past every deadline.
-const LONG: u64 = 60 * SECOND;
+/// Longer than any request deadline.
+const PAST_DEADLINES: u64 = 60 * SECOND;
 
 #[test]
 fn a_committed_upload_outlives_its_deadline_and_is_never_retried() {
@@ -13,44 +13,44 @@
         let mut harness = Harness::new(settings(), 2);
         let (id, backend) = harness.forward_one(class);
         harness.handle(Event::UploadCommitted { request: id, attempt: 0 });
-        let led = harness.advance(LONG);
-        assert!(!rejected(&led, id) && !failed(&led, id), "it goes on");
+        let actions = harness.advance(PAST_DEADLINES);
+        assert!(!rejected(&actions, id) && !failed(&actions, id), "the upload continues");
         let out = harness.end_attempt(id, 0, backend, outcome);
         assert!(forwards(&out).is_empty(), "{outcome:?}");
-        assert!(rejected(&out, id), "it never ran, whatever its class");
+        assert!(rejected(&out, id), "the attempt never ran, so a rejection is safe for every class");
     }
 }
 
 #[test]
 fn a_committed_upload_that_may_have_run_fails_unless_it_is_idempotent() {
-    for (class, harmless) in [(0, true), (2, false)] {
+    for (class, safe_to_reject) in [(0, true), (2, false)] {
         let mut harness = Harness::new(settings(), 2);
         let (id, backend) = harness.forward_one(class);
         harness.handle(Event::UploadCommitted { request: id, attempt: 0 });
         let out = harness.end_attempt(id, 0, backend, Outcome::ConnectionReset);
         assert!(forwards(&out).is_empty());
-        assert_eq!((rejected(&out, id), failed(&out, id)), (harmless, !harmless));
+        assert_eq!((rejected(&out, id), failed(&out, id)), (safe_to_reject, !safe_to_reject));
     }
 }
 
 #[test]
 fn a_client_that_disconnects_cancels_its_committed_upload_but_not_a_started_response() {
-    for called_off in [true, false] {
+    for is_upload in [true, false] {
         let mut harness = Harness::new(settings(), 2);
         let (id, _) = harness.forward_one(0);
-        harness.handle(match called_off {
+        harness.handle(match is_upload {
             true => Event::UploadCommitted { request: id, attempt: 0 },
             false => Event::ResponseStarted { request: id, attempt: 0 },
         });
         let out = harness.handle(Event::ClientDisconnected(id));
-        assert_eq!(out.contains(&Action::CancelAttempt { request: id, attempt: 0 }), called_off);
+        assert_eq!(out.contains(&Action::CancelAttempt { request: id, attempt: 0 }), is_upload);
     }
 }
 
 #[test]
-fn a_stream_counts_for_the_selection_but_not_against_the_concurrency_limit() {
+fn a_stream_counts_in_selection_but_not_against_the_concurrency_limit() {
     let mut harness = Harness::new(settings(), 2);
-    let kept = harness.engine.tracked_items();
+    let initial_items = harness.engine.tracked_items();
     let streams: Vec<_> = (0..40)
         .map(|_| {
             let (id, backend) = harness.forward_one(0);
@@ -60,13 +60,13 @@
         .collect();
     let on = |backend| streams.iter().filter(|(_, s)| *s == BackendId(backend)).count();
     assert!(on(0).abs_diff(on(1)) <= 4, "{} and {}", on(0), on(1));
-    // They end late, at their clients' pace: no fault of the backends.
-    harness.advance(LONG);
+    // Streams end late because their clients are slow, which must not count against the backends.
+    harness.advance(PAST_DEADLINES);
     streams.iter().for_each(|(id, backend)| drop(harness.end_attempt(*id, 0, *backend, Outcome::Success)));
     let (id, backend) = harness.forward_one(0);
     harness.end_attempt(id, 0, backend, Outcome::Success);
-    harness.advance(LONG);
-    assert_eq!(harness.engine.tracked_items(), kept, "they leave no state behind");
+    harness.advance(PAST_DEADLINES);
+    assert_eq!(harness.engine.tracked_items(), initial_items, "ended streams leave no state");
 }
 
 #[test]
@@ -76,14 +76,14 @@
     for i in 0..200 {
         harness.advance(20 * MILLISECOND);
         let (id, backend) = harness.forward_one(0);
-        let bad = backend == BackendId(0);
-        last = if bad { i } else { last };
+        let is_faulty = backend == BackendId(0);
+        last = if is_faulty { i } else { last };
         harness.handle(Event::ResponseStarted { request: id, attempt: 0 });
         let end = AttemptResult {
             request: id,
             attempt: 0,
             backend,
-            outcome: if bad { Outcome::ConnectionReset } else { Outcome::Success },
+            outcome: if is_faulty { Outcome::ConnectionReset } else { Outcome::Success },
             elapsed: Micros(50 * MILLISECOND),
             request_answered: true,
             settled_units: None,
@@ -98,22 +98,26 @@
             .filter(|a| matches!(a, Action::Forward { backend, .. } if *backend == BackendId(0)))
             .count()
     };
-    assert!((1..30).contains(&hits(&harness)), "{} of 200, the last at {last}", hits(&harness));
+    assert!(
+        (1..30).contains(&hits(&harness)),
+        "{} of 200 attempts at the faulty backend, the last at {last}",
+        hits(&harness)
+    );
 }
 
 #[test]
-fn a_dropped_response_is_neither_retried_nor_held_against_its_backend() {
+fn a_dropped_response_is_not_retried_and_does_not_count_against_its_backend() {
     let mut harness = Harness::new(settings(), 2);
     for _ in 0..20 {
-        let (safe, backend) = harness.forward_one(0);
-        let out = harness.end_attempt(safe, 0, backend, Outcome::ResponseDropped);
-        assert!(rejected(&out, safe) && forwards(&out).is_empty());
-        let (ran, backend) = harness.forward_one(2);
-        let out = harness.end_attempt(ran, 0, backend, Outcome::ResponseDropped);
-        assert!(failed(&out, ran) && forwards(&out).is_empty(), "it ran");
+        let (idempotent, backend) = harness.forward_one(0);
+        let out = harness.end_attempt(idempotent, 0, backend, Outcome::ResponseDropped);
+        assert!(rejected(&out, idempotent) && forwards(&out).is_empty());
+        let (non_idempotent, backend) = harness.forward_one(2);
+        let out = harness.end_attempt(non_idempotent, 0, backend, Outcome::ResponseDropped);
+        assert!(failed(&out, non_idempotent) && forwards(&out).is_empty(), "the attempt ran");
     }
     let mut seen: Vec<_> = (0..2).map(|_| harness.forward_one(0).1).collect();
     seen.sort();
     seen.dedup();
-    assert_eq!(seen.len(), 2, "both still get work");
+    assert_eq!(seen.len(), 2, "both backends still get attempts");
 }
