--- a/crates/policy/examples/decision_trace/backends.rs
+++ b/crates/policy/examples/decision_trace/backends.rs
@@ -1,6 +1,6 @@
-//! The simulated backends: their states on the endpoint list, faults, cold starts, and how long an attempt takes.
+//! Simulated backends: their state in the endpoint list, faults, cold starts, and the outcome and latency of attempts.
 
-use crate::shapes::Shape;
+use crate::scenarios::Scenario;
 use lanespan_policy::{
     BackendId, CellId, Endpoint, EndpointState, LoadReport, Micros, Outcome, Settings, ZoneId,
 };
@@ -35,10 +35,10 @@
     pub number: u64,
     pub state: EndpointState,
     pub weight: f64,
-    /// As the list has it.
-    pub started: Option<u64>,
-    /// As it is.
-    pub warm_since: u64,
+    /// Start time reported by the endpoint list.
+    pub listed_start: Option<u64>,
+    /// Actual start of the warm-up.
+    pub warm_up_start: u64,
     pub in_flight: u64,
     fault: Option<Fault>,
     fault_ends: u64,
@@ -47,26 +47,26 @@
     zone_shift: u64,
 }
 
-/// How an attempt would end if nothing came between.
-pub struct Course {
+/// Outcome and latency of an attempt that is neither cancelled nor given up.
+pub struct AttemptEnd {
     pub after: u64,
     pub outcome: Outcome,
 }
 
 impl Backend {
-    pub fn new(number: u64, shape: &Shape, rng: &mut fastrand::Rng) -> Backend {
-        let weight = if shape.uneven_weights { [0.0, 0.5, 1.0, 2.0][rng.usize(0..4)] } else { 1.0 };
+    pub fn new(number: u64, scenario: &Scenario, rng: &mut fastrand::Rng) -> Backend {
+        let weight = if scenario.uneven_weights { [0.0, 0.5, 1.0, 2.0][rng.usize(0..4)] } else { 1.0 };
         Backend {
             number,
             state: EndpointState::InService,
             weight,
-            started: None,
-            warm_since: 0,
+            listed_start: None,
+            warm_up_start: 0,
             in_flight: 0,
             fault: None,
             fault_ends: 0,
-            latency: rng.u64(shape.latency_ms.0..shape.latency_ms.1) * MILLISECOND,
-            capacity: shape.capacity * if weight > 0.0 { weight } else { 1.0 },
+            latency: rng.u64(scenario.latency_ms.0..scenario.latency_ms.1) * MILLISECOND,
+            capacity: scenario.capacity * if weight > 0.0 { weight } else { 1.0 },
             zone_shift: 0,
         }
     }
@@ -78,74 +78,79 @@
             cell: CellId(self.number / CELL_SIZE),
             state: self.state,
             weight: self.weight,
-            started_at: self.started.map(Micros),
+            started_at: self.listed_start.map(Micros),
         }
     }
 
     pub fn begin_fault(&mut self, now: u64, rng: &mut fastrand::Rng) {
         self.fault = Some(FAULTS[rng.usize(0..FAULTS.len())]);
-        let longest = if rng.u32(0..4) == 0 { 30_000 } else { 7_000 };
-        self.fault_ends = now + rng.u64(200..longest) * MILLISECOND;
+        let max_duration_ms = if rng.u32(0..4) == 0 { 30_000 } else { 7_000 };
+        self.fault_ends = now + rng.u64(200..max_duration_ms) * MILLISECOND;
     }
 
-    /// Down for a while, then up and cold.
+    /// Makes the backend unreachable for `downtime`, after which it is cold.
     pub fn restart(&mut self, now: u64, downtime: u64) {
         self.fault = Some(Fault::Unreachable);
         self.fault_ends = now + downtime;
-        self.warm_since = now + downtime;
+        self.warm_up_start = now + downtime;
     }
 
-    pub fn change_size(&mut self, rng: &mut fastrand::Rng) {
+    pub fn change_weight_and_zone(&mut self, rng: &mut fastrand::Rng) {
         self.weight = [0.0, 0.5, 1.0, 2.0][rng.usize(0..4)];
         self.zone_shift += 1;
     }
 
     fn capacity(&self, now: u64, settings: &Settings) -> f64 {
-        let up = now.saturating_sub(self.warm_since) as f64 / settings.warm_up_time.0.max(1) as f64;
-        self.capacity * (settings.cold_capacity_share + (1.0 - settings.cold_capacity_share) * up.min(1.0))
+        let warm_up_progress =
+            now.saturating_sub(self.warm_up_start) as f64 / settings.warm_up_time.0.max(1) as f64;
+        self.capacity
+            * (settings.cold_capacity_share
+                + (1.0 - settings.cold_capacity_share) * warm_up_progress.min(1.0))
     }
 
-    pub fn draw(&mut self, now: u64, settings: &Settings, rng: &mut fastrand::Rng) -> Course {
+    pub fn draw_attempt(&mut self, now: u64, settings: &Settings, rng: &mut fastrand::Rng) -> AttemptEnd {
         let load = self.in_flight as f64 / self.capacity(now, settings).max(0.1);
         let spread = if rng.u32(0..12) == 0 { rng.f64() * 8.0 } else { 0.5 + rng.f64() };
-        let usual = (self.latency as f64 * spread * load.max(1.0)) as u64;
-        let quick = rng.u64(300..3_000);
+        let latency = (self.latency as f64 * spread * load.max(1.0)) as u64;
+        let short_delay = rng.u64(300..3_000);
         let (after, outcome) = match self.fault.filter(|_| now < self.fault_ends) {
-            Some(Fault::Slow) => (usual * 8, Outcome::Success),
-            Some(Fault::Errors) if rng.u32(0..10) < 8 => (quick, Outcome::ServerError),
+            Some(Fault::Slow) => (latency * 8, Outcome::Success),
+            Some(Fault::Errors) if rng.u32(0..10) < 8 => (short_delay, Outcome::ServerError),
             Some(Fault::Hangs) => (3_600 * SECOND, Outcome::Timeout),
-            Some(Fault::Unreachable) => (quick, Outcome::ConnectFailed),
-            Some(Fault::Resets) if rng.u32(0..10) < 6 => (usual, Outcome::ConnectionReset),
-            Some(Fault::Rejects) if rng.u32(0..10) < 7 => (quick, Outcome::Rejected),
-            Some(Fault::Flaky) if rng.u32(0..10) < 3 => (usual, Outcome::ServerError),
-            _ if load > 2.0 && rng.f64() * 3.0 < load - 2.0 => (quick, Outcome::Rejected),
+            Some(Fault::Unreachable) => (short_delay, Outcome::ConnectFailed),
+            Some(Fault::Resets) if rng.u32(0..10) < 6 => (latency, Outcome::ConnectionReset),
+            Some(Fault::Rejects) if rng.u32(0..10) < 7 => (short_delay, Outcome::Rejected),
+            Some(Fault::Flaky) if rng.u32(0..10) < 3 => (latency, Outcome::ServerError),
+            _ if load > 2.0 && rng.f64() * 3.0 < load - 2.0 => (short_delay, Outcome::Rejected),
             _ => match rng.u32(0..400) {
-                0 => (usual, Outcome::ResponseDropped),
-                1 => (quick, Outcome::NotSent),
-                2 => (usual, Outcome::ConnectionReset),
-                3 => (usual, Outcome::ServerError),
-                _ => (usual, Outcome::Success),
+                0 => (latency, Outcome::ResponseDropped),
+                1 => (short_delay, Outcome::NotSent),
+                2 => (latency, Outcome::ConnectionReset),
+                3 => (latency, Outcome::ServerError),
+                _ => (latency, Outcome::Success),
             },
         };
-        Course { after: after.max(1), outcome }
+        AttemptEnd { after: after.max(1), outcome }
     }
 
-    /// What it tells of its load with an answer.
-    pub fn report(&self, now: u64, settings: &Settings, rng: &mut fastrand::Rng) -> LoadReport {
-        let share = self.in_flight as f64 / self.capacity(now, settings).max(0.1);
+    /// Returns the load report sent with an answer. Some reports are partial or empty.
+    pub fn load_report(&self, now: u64, settings: &Settings, rng: &mut fastrand::Rng) -> LoadReport {
+        let utilization = self.in_flight as f64 / self.capacity(now, settings).max(0.1);
         match rng.u32(0..8) {
             0 => LoadReport::default(),
             1 => LoadReport { in_flight: Some(self.in_flight as f64), ..LoadReport::default() },
-            2 => LoadReport { queued: Some(0.0), utilization: Some(share), ..LoadReport::default() },
+            2 => LoadReport { queued: Some(0.0), utilization: Some(utilization), ..LoadReport::default() },
             3 => LoadReport {
-                queued: Some((share - 1.0).max(0.0)),
-                utilization: Some(share * 0.9),
+                queued: Some((utilization - 1.0).max(0.0)),
+                utilization: Some(utilization * 0.9),
                 ..LoadReport::default()
             },
-            4 => LoadReport { queued: Some((share - 1.0).max(0.0)), ..LoadReport::default() },
-            _ => {
-                LoadReport { in_flight: Some(self.in_flight as f64), queued: None, utilization: Some(share) }
-            }
+            4 => LoadReport { queued: Some((utilization - 1.0).max(0.0)), ..LoadReport::default() },
+            _ => LoadReport {
+                in_flight: Some(self.in_flight as f64),
+                queued: None,
+                utilization: Some(utilization),
+            },
         }
     }
 }
--- a/crates/policy/examples/decision_trace/counter.rs
+++ b/crates/policy/examples/decision_trace/counter.rs
@@ -1,23 +1,23 @@
-//! The simulated quota counter: totals by key, with spells in which it is slow, overloaded, silent or broken, and
-//! losses of all that it holds.
+//! Simulated quota counter: totals by key, with periods in which it is slow, overloaded, silent or broken, and losses
+//! of its totals.
 
-use crate::shapes::CounterShape;
+use crate::scenarios::CounterScenario;
 use lanespan_policy::{CounterKey, Outcome};
 use std::collections::BTreeMap;
 
 const MILLISECOND: u64 = 1_000;
-/// The time over which calls are held against its capacity.
+/// Interval over which calls are counted against the capacity.
 const CAPACITY_WINDOW: u64 = 100 * MILLISECOND;
 
 #[derive(Clone, Copy, PartialEq)]
-enum Spell {
-    Sound,
+enum Condition {
+    Healthy,
     Slow,
     Silent,
     Overloaded,
     Broken,
     HotKeys,
-    Patchy,
+    PartlySilent,
 }
 
 struct Total {
@@ -25,7 +25,7 @@
     expires: u64,
 }
 
-/// A call's end: after how long, how, and with which total.
+/// Reply to a counter call: its delay, outcome and total.
 pub struct Reply {
     pub after: u64,
     pub outcome: Outcome,
@@ -33,36 +33,42 @@
 }
 
 pub struct Counter {
-    shape: CounterShape,
+    scenario: CounterScenario,
     totals: BTreeMap<CounterKey, Total>,
-    spell: Spell,
-    spell_ends: u64,
+    condition: Condition,
+    condition_ends: u64,
     window: u64,
     calls_in_window: u64,
 }
 
 impl Counter {
-    pub fn new(shape: CounterShape) -> Counter {
+    pub fn new(scenario: CounterScenario) -> Counter {
         Counter {
-            shape,
+            scenario,
             totals: BTreeMap::new(),
-            spell: Spell::Sound,
-            spell_ends: 0,
+            condition: Condition::Healthy,
+            condition_ends: 0,
             window: 0,
             calls_in_window: 0,
         }
     }
 
     fn advance(&mut self, now: u64, rng: &mut fastrand::Rng) {
-        if now >= self.spell_ends {
-            let spells =
-                [Spell::Slow, Spell::Silent, Spell::Overloaded, Spell::Broken, Spell::HotKeys, Spell::Patchy];
-            let troubled = rng.f64() < self.shape.trouble;
-            self.spell = if troubled { spells[rng.usize(0..spells.len())] } else { Spell::Sound };
-            self.spell_ends = now + rng.u64(300..6_000) * MILLISECOND;
-            if rng.f64() < self.shape.memory_loss {
-                let kept = [0.0, 0.5][rng.usize(0..2)];
-                self.totals.values_mut().for_each(|total| total.value *= kept);
+        if now >= self.condition_ends {
+            let faults = [
+                Condition::Slow,
+                Condition::Silent,
+                Condition::Overloaded,
+                Condition::Broken,
+                Condition::HotKeys,
+                Condition::PartlySilent,
+            ];
+            let is_faulty = rng.f64() < self.scenario.fault_probability;
+            self.condition = if is_faulty { faults[rng.usize(0..faults.len())] } else { Condition::Healthy };
+            self.condition_ends = now + rng.u64(300..6_000) * MILLISECOND;
+            if rng.f64() < self.scenario.loss_probability {
+                let kept_share = [0.0, 0.5][rng.usize(0..2)];
+                self.totals.values_mut().for_each(|total| total.value *= kept_share);
             }
             self.totals.retain(|_, total| total.expires > now);
         }
@@ -81,32 +87,32 @@
         rng: &mut fastrand::Rng,
     ) -> Reply {
         self.advance(now, rng);
-        let quick = rng.u64(500..4_000);
+        let short_delay = rng.u64(500..4_000);
         let failed = |outcome: Outcome, after: u64| Reply { after, outcome, total: 0.0 };
-        if self.calls_in_window > self.shape.calls_per_100_ms {
-            return failed(Outcome::Rejected, quick);
+        if self.calls_in_window > self.scenario.calls_per_100_ms {
+            return failed(Outcome::Rejected, short_delay);
         }
         let late = failed(Outcome::Timeout, timeout);
-        let mut after = quick;
-        match self.spell {
-            Spell::Sound if rng.u32(0..200) == 0 => return late,
-            Spell::Sound => {}
-            Spell::Slow => after = rng.u64(timeout / 3..timeout + timeout / 5),
-            Spell::Silent => return late,
-            Spell::Overloaded => return failed(Outcome::Rejected, quick),
-            Spell::Broken => {
-                let ends = [
+        let mut after = short_delay;
+        match self.condition {
+            Condition::Healthy if rng.u32(0..200) == 0 => return late,
+            Condition::Healthy => {}
+            Condition::Slow => after = rng.u64(timeout / 3..timeout + timeout / 5),
+            Condition::Silent => return late,
+            Condition::Overloaded => return failed(Outcome::Rejected, short_delay),
+            Condition::Broken => {
+                let outcomes = [
                     Outcome::ServerError,
                     Outcome::ConnectionReset,
                     Outcome::ConnectFailed,
                     Outcome::NotSent,
                 ];
-                return failed(ends[rng.usize(0..ends.len())], quick);
+                return failed(outcomes[rng.usize(0..outcomes.len())], short_delay);
             }
-            Spell::HotKeys if key.0 % 3 == 0 => return failed(Outcome::Rejected, quick),
-            Spell::HotKeys => {}
-            Spell::Patchy if rng.u32(0..3) == 0 => return late,
-            Spell::Patchy => {}
+            Condition::HotKeys if key.0 % 3 == 0 => return failed(Outcome::Rejected, short_delay),
+            Condition::HotKeys => {}
+            Condition::PartlySilent if rng.u32(0..3) == 0 => return late,
+            Condition::PartlySilent => {}
         }
         let total = self.totals.entry(key).or_insert(Total { value: 0.0, expires: now + lifetime });
         if total.expires <= now {
@@ -114,7 +120,7 @@
         }
         total.value += amount;
         if after >= timeout {
-            return late; // It was counted all the same.
+            return late; // The amount was counted although the reply is late.
         }
         Reply { after, outcome: Outcome::Success, total: total.value }
     }
--- a/crates/policy/examples/decision_trace/main.rs
+++ b/crates/policy/examples/decision_trace/main.rs
@@ -1,47 +1,48 @@
-//! A digest of every action that gateways take in a simulated world, to compare two builds of this crate: equal
+//! Prints a digest of every action that gateways take in a simulation, to compare two builds of this crate. Equal
 //! digests mean that every action, its time and the order of random draws are the same.
 //!
-//! `decision_trace SEEDS [SHAPE] [--dump]` plays seeds 0 to SEEDS - 1 of each shape (or of the one named) and prints a
-//! digest of each shape and of all. `--dump` prints each recorded line as numbers, by which the first difference is found.
+//! `decision_trace SEEDS [SCENARIO] [--dump]` runs seeds 0 to SEEDS - 1 of each scenario (or of the named one) and
+//! prints a digest of each scenario and a total. `--dump` prints each recorded line as numbers, to locate the first
+//! difference.
 //!
-//! Nothing here prints or hashes a Rust name, so renames leave the digest as it is.
+//! No Rust identifier is printed or hashed, so renames do not change the digest.
 
 mod backends;
 mod counter;
-mod shapes;
+mod scenarios;
+mod simulation;
 mod trace;
-mod world;
 
+use simulation::Simulation;
 use std::process::ExitCode;
 use trace::Trace;
-use world::World;
 
-const USAGE: &str = "usage: decision_trace SEEDS [SHAPE] [--dump]";
+const USAGE: &str = "usage: decision_trace SEEDS [SCENARIO] [--dump]";
 
 fn main() -> ExitCode {
-    let (flags, words): (Vec<String>, Vec<String>) =
-        std::env::args().skip(1).partition(|word| word.starts_with("--"));
+    let (flags, arguments): (Vec<String>, Vec<String>) =
+        std::env::args().skip(1).partition(|argument| argument.starts_with("--"));
     let dump = flags.iter().any(|flag| flag == "--dump");
-    let Some(seeds) = words.first().and_then(|word| word.parse::<u64>().ok()) else {
+    let Some(seeds) = arguments.first().and_then(|argument| argument.parse::<u64>().ok()) else {
         eprintln!("{USAGE}");
         return ExitCode::FAILURE;
     };
-    let wanted = words.get(1);
+    let selected = arguments.get(1);
     let mut total = Trace::default();
-    for shape in shapes::all() {
-        if wanted.is_some_and(|name| name != shape.name) {
+    for scenario in scenarios::all() {
+        if selected.is_some_and(|name| name != scenario.name) {
             continue;
         }
         let mut digests = Trace::default();
-        let (mut actions, mut events) = (0, 0);
+        let (mut lines, mut events) = (0, 0);
         for seed in 0..seeds {
-            let mut world = World::new(&shape, seed, Trace::new(dump));
-            world.run();
-            digests.record(&[seed, world.trace.digest()]);
-            actions += world.trace.lines;
-            events += world.events;
+            let mut simulation = Simulation::new(&scenario, seed, Trace::new(dump));
+            simulation.run();
+            digests.record(&[seed, simulation.trace.digest()]);
+            lines += simulation.trace.lines;
+            events += simulation.events;
         }
-        println!("{} {:016x} events={events} lines={actions}", shape.name, digests.digest());
+        println!("{} {:016x} events={events} lines={lines}", scenario.name, digests.digest());
         total.record(&[digests.digest()]);
     }
     println!("total {:016x} seeds={seeds}", total.digest());
--- a/crates/policy/examples/decision_trace/shapes.rs
+++ b/crates/policy/examples/decision_trace/scenarios.rs
@@ -1,4 +1,4 @@
-//! The shapes of the simulated world: settings, traffic, and what goes wrong.
+//! Scenarios of the simulation: settings, traffic and faults.
 
 use lanespan_policy::{DeduplicationScope, Idempotency, Micros, QuotaPlan, RequestClass, Settings, ZoneId};
 
@@ -6,42 +6,45 @@
 const SECOND: u64 = 1_000_000;
 
 #[derive(Clone)]
-pub struct CounterShape {
-    /// Chance that a spell is one of trouble, and that all or half of the totals are lost before it.
-    pub trouble: f64,
-    pub memory_loss: f64,
+pub struct CounterScenario {
+    /// Probability that a period is faulty.
+    pub fault_probability: f64,
+    /// Probability that all or half of the totals are lost before a period.
+    pub loss_probability: f64,
     pub calls_per_100_ms: u64,
 }
 
 #[derive(Clone)]
-pub struct Shape {
+pub struct Scenario {
     pub name: &'static str,
     pub settings: Settings,
-    /// Gateways that are simulated; `settings` has how many there are in the fleet.
+    /// Number of simulated gateways; `settings` has the number in the fleet.
     pub gateways: u32,
     pub backends: u64,
     pub seconds: u64,
     pub requests_per_second: f64,
     pub customers: u64,
-    /// Through how many gateways customers come, drawn for each customer.
+    /// Numbers of gateways that customers use, assigned by customer.
     pub spreads: Vec<u32>,
-    /// Attempts that a warm backend of weight 1 bears, and its usual time to answer, least and most.
+    /// Attempts in flight that a warm backend of weight 1 handles without slowing down.
     pub capacity: f64,
+    /// Range of the base latency of a backend.
     pub latency_ms: (u64, u64),
     pub uneven_weights: bool,
-    pub counter: CounterShape,
-    /// Chances for each request or attempt.
-    pub client_leaves: f64,
+    pub counter: CounterScenario,
+    /// Probabilities for each request or attempt.
+    pub client_disconnects: f64,
     pub client_retries: f64,
     pub retries_marked: bool,
     pub uploads: f64,
     pub streams: f64,
-    pub settled: f64,
-    pub reports: f64,
-    /// Each second: the chance of a fault at some backend, and of a change of the endpoint list.
+    pub settled_units: f64,
+    pub load_reports: f64,
+    /// Probabilities, each second, of a fault at some backend, of a change of the endpoint list, of a lost subscription
+    /// and of a gateway restart.
     pub faults: f64,
     pub list_changes: f64,
-    pub lost_lists: f64,
+    pub lost_subscriptions: f64,
     pub gateway_restarts: f64,
 }
 
@@ -145,8 +148,8 @@
     }
 }
 
-fn dense() -> Shape {
-    Shape {
+fn dense() -> Scenario {
+    Scenario {
         name: "dense",
         settings: settings(3),
         gateways: 3,
@@ -158,23 +161,23 @@
         capacity: 12.0,
         latency_ms: (20, 120),
         uneven_weights: false,
-        counter: CounterShape { trouble: 0.05, memory_loss: 0.03, calls_per_100_ms: 1_000 },
-        client_leaves: 0.02,
+        counter: CounterScenario { fault_probability: 0.05, loss_probability: 0.03, calls_per_100_ms: 1_000 },
+        client_disconnects: 0.02,
         client_retries: 0.5,
         retries_marked: true,
         uploads: 0.01,
         streams: 0.01,
-        settled: 0.2,
-        reports: 0.8,
+        settled_units: 0.2,
+        load_reports: 0.8,
         faults: 0.2,
         list_changes: 0.1,
-        lost_lists: 0.05,
+        lost_subscriptions: 0.05,
         gateway_restarts: 0.01,
     }
 }
 
-fn sparse() -> Shape {
-    Shape {
+fn sparse() -> Scenario {
+    Scenario {
         name: "sparse",
         settings: settings(300),
         gateways: 300,
@@ -183,40 +186,40 @@
         requests_per_second: 260.0,
         customers: 40,
         spreads: vec![1, 4, 30, 200, 300],
-        counter: CounterShape { trouble: 0.1, memory_loss: 0.05, calls_per_100_ms: 22 },
+        counter: CounterScenario { fault_probability: 0.1, loss_probability: 0.05, calls_per_100_ms: 22 },
         list_changes: 0.3,
         ..dense()
     }
 }
 
-/// All shapes, in the order in which they are played.
-pub fn all() -> Vec<Shape> {
-    let mut shapes = vec![sparse(), dense()];
-    shapes.extend(counter_shapes());
-    shapes.extend(quota_shapes());
-    shapes.extend(attempt_shapes());
-    shapes.extend(backend_shapes());
-    shapes.extend(overload_shapes());
-    shapes
+/// Returns all scenarios, in the order in which they run.
+pub fn all() -> Vec<Scenario> {
+    let mut scenarios = vec![sparse(), dense()];
+    scenarios.extend(counter_scenarios());
+    scenarios.extend(quota_scenarios());
+    scenarios.extend(attempt_scenarios());
+    scenarios.extend(backend_scenarios());
+    scenarios.extend(overload_scenarios());
+    scenarios
 }
 
-fn counter_shapes() -> Vec<Shape> {
-    let down = CounterShape { trouble: 0.7, memory_loss: 0.2, calls_per_100_ms: 1_000 };
+fn counter_scenarios() -> Vec<Scenario> {
+    let down = CounterScenario { fault_probability: 0.7, loss_probability: 0.2, calls_per_100_ms: 1_000 };
     vec![
-        Shape { name: "counter_down", counter: down.clone(), retries_marked: false, ..dense() },
-        Shape {
+        Scenario { name: "counter_down", counter: down.clone(), retries_marked: false, ..dense() },
+        Scenario {
             name: "sparse_counter_down",
-            counter: CounterShape { calls_per_100_ms: 15, ..down },
+            counter: CounterScenario { calls_per_100_ms: 15, ..down },
             ..sparse()
         },
-        Shape {
+        Scenario {
             name: "sparse_counter_overloaded",
-            counter: CounterShape { trouble: 0.0, memory_loss: 0.0, calls_per_100_ms: 8 },
+            counter: CounterScenario { fault_probability: 0.0, loss_probability: 0.0, calls_per_100_ms: 8 },
             requests_per_second: 400.0,
             retries_marked: false,
             ..sparse()
         },
-        Shape {
+        Scenario {
             name: "no_counter",
             settings: Settings { quota_counter: false, retry_after: false, ..settings(3) },
             ..dense()
@@ -225,9 +228,9 @@
     ]
 }
 
-/// Few gateways of a large fleet with many requests each, so that what they learn of plans fills up.
-fn sparse_busy() -> Shape {
-    Shape {
+/// Few gateways of a large fleet with many requests each, so that their estimates for plans are well filled.
+fn sparse_busy() -> Scenario {
+    Scenario {
         name: "sparse_busy",
         settings: Settings {
             plans: vec![
@@ -244,15 +247,15 @@
         requests_per_second: 560.0,
         capacity: 12.0,
         latency_ms: (4, 20),
-        reports: 1.0,
+        load_reports: 1.0,
         spreads: vec![1, 300, 200, 300],
-        counter: CounterShape { trouble: 0.7, memory_loss: 0.1, calls_per_100_ms: 70 },
+        counter: CounterScenario { fault_probability: 0.7, loss_probability: 0.1, calls_per_100_ms: 70 },
         client_retries: 0.1,
         ..sparse()
     }
 }
 
-fn quota_shapes() -> Vec<Shape> {
+fn quota_scenarios() -> Vec<Scenario> {
     let ceilings = vec![
         with_ceiling(10.0, 20.0, 2.0),
         with_ceiling(20.0, 30.0, 1.2),
@@ -265,25 +268,25 @@
         QuotaPlan { max_concurrent: 2.0, ..plan(15.0, 30.0) },
         QuotaPlan { max_concurrent: 30.0, ..plan(0.0, 0.0) },
     ];
-    let flaky = CounterShape { trouble: 0.3, memory_loss: 0.3, calls_per_100_ms: 1_000 };
+    let flaky = CounterScenario { fault_probability: 0.3, loss_probability: 0.3, calls_per_100_ms: 1_000 };
     let with_plans =
         |plans: &Vec<QuotaPlan>, gateways| Settings { plans: plans.clone(), ..settings(gateways) };
     vec![
-        Shape {
+        Scenario {
             name: "ceilings",
             settings: with_plans(&ceilings, 3),
             counter: flaky.clone(),
             customers: 10,
             ..dense()
         },
-        Shape {
+        Scenario {
             name: "sparse_ceilings",
             settings: with_plans(&ceilings, 300),
-            counter: CounterShape { calls_per_100_ms: 25, ..flaky.clone() },
+            counter: CounterScenario { calls_per_100_ms: 25, ..flaky.clone() },
             customers: 20,
             ..sparse()
         },
-        Shape {
+        Scenario {
             name: "max_concurrent",
             settings: with_plans(&concurrent, 3),
             counter: flaky,
@@ -292,11 +295,17 @@
             capacity: 20.0,
             ..dense()
         },
-        Shape { name: "idle_customers", seconds: 150, requests_per_second: 12.0, customers: 300, ..dense() },
+        Scenario {
+            name: "idle_customers",
+            seconds: 150,
+            requests_per_second: 12.0,
+            customers: 300,
+            ..dense()
+        },
     ]
 }
 
-fn attempt_shapes() -> Vec<Shape> {
+fn attempt_scenarios() -> Vec<Scenario> {
     let keyed = vec![
         RequestClass {
             deduplication_window: Micros(400 * MILLISECOND),
@@ -313,34 +322,39 @@
         class(Idempotency::NonIdempotent, DeduplicationScope::AllBackends, 900, 1.0),
     ];
     vec![
-        Shape {
+        Scenario {
             name: "hedging",
             settings: Settings { hedging: true, health_checks: true, ..settings(3) },
             faults: 0.6,
             ..dense()
         },
-        Shape {
+        Scenario {
             name: "no_cancellation",
             settings: Settings { cancellation: false, max_attempts: 2, ..settings(3) },
             faults: 0.4,
-            client_leaves: 0.08,
+            client_disconnects: 0.08,
+            ..dense()
+        },
+        Scenario {
+            name: "keyed",
+            settings: Settings { classes: keyed, ..settings(3) },
+            faults: 0.7,
             ..dense()
         },
-        Shape { name: "keyed", settings: Settings { classes: keyed, ..settings(3) }, faults: 0.7, ..dense() },
-        Shape {
+        Scenario {
             name: "faults",
             seconds: 45,
             requests_per_second: 140.0,
             faults: 0.6,
             latency_ms: (10, 60),
-            reports: 0.0,
+            load_reports: 0.0,
             ..dense()
         },
-        Shape {
+        Scenario {
             name: "transfers",
             uploads: 0.2,
             streams: 0.25,
-            client_leaves: 0.1,
+            client_disconnects: 0.1,
             requests_per_second: 120.0,
             faults: 0.3,
             ..dense()
@@ -348,15 +362,15 @@
     ]
 }
 
-fn backend_shapes() -> Vec<Shape> {
+fn backend_scenarios() -> Vec<Scenario> {
     let slow_warm_up = |gateways| Settings {
         warm_up_time: Micros(6 * SECOND),
         overload_multiple: 1.5,
         ..settings(gateways)
     };
     vec![
-        Shape { name: "rolling_restarts", list_changes: 1.0, uneven_weights: true, ..dense() },
-        Shape {
+        Scenario { name: "rolling_restarts", list_changes: 1.0, uneven_weights: true, ..dense() },
+        Scenario {
             name: "sparse_cold",
             settings: slow_warm_up(300),
             list_changes: 1.0,
@@ -364,7 +378,7 @@
             uneven_weights: true,
             ..sparse()
         },
-        Shape {
+        Scenario {
             name: "medium_cold",
             settings: Settings { max_request_units: 1.0, ..slow_warm_up(30) },
             gateways: 30,
@@ -373,20 +387,20 @@
             list_changes: 0.8,
             ..dense()
         },
-        Shape {
+        Scenario {
             name: "subscriptions",
             settings: Settings { endpoint_subscription: true, ..settings(3) },
             list_changes: 0.7,
-            lost_lists: 0.4,
+            lost_subscriptions: 0.4,
             requests_per_second: 120.0,
             ..dense()
         },
     ]
 }
 
-fn overload_shapes() -> Vec<Shape> {
+fn overload_scenarios() -> Vec<Scenario> {
     vec![
-        Shape {
+        Scenario {
             name: "overload",
             capacity: 2.0,
             backends: 6,
@@ -394,7 +408,7 @@
             faults: 0.05,
             ..dense()
         },
-        Shape {
+        Scenario {
             name: "sparse_overload",
             capacity: 2.0,
             backends: 20,
@@ -402,22 +416,22 @@
             requests_per_second: 320.0,
             ..sparse()
         },
-        Shape {
+        Scenario {
             name: "sparse_near_capacity",
             capacity: 3.4,
             latency_ms: (150, 500),
             requests_per_second: 320.0,
-            reports: 1.0,
-            counter: CounterShape { trouble: 0.0, memory_loss: 0.0, calls_per_100_ms: 60 },
+            load_reports: 1.0,
+            counter: CounterScenario { fault_probability: 0.0, loss_probability: 0.0, calls_per_100_ms: 60 },
             list_changes: 0.0,
             faults: 0.0,
             ..sparse()
         },
-        Shape {
+        Scenario {
             name: "sparse_late_unreported",
             capacity: 6.0,
             latency_ms: (150, 700),
-            reports: 0.0,
+            load_reports: 0.0,
             ..sparse()
         },
     ]
--- a/crates/policy/examples/decision_trace/trace.rs
+++ b/crates/policy/examples/decision_trace/trace.rs
@@ -1,8 +1,8 @@
-//! The digest, and how an action becomes numbers.
+//! Computes the digest, and encodes actions as numbers.
 
 use lanespan_policy::Action;
 
-/// A 64-bit digest of lines of numbers.
+/// Running 64-bit digest of recorded lines of numbers.
 #[derive(Default)]
 pub struct Trace {
     hash: u64,
@@ -32,7 +32,7 @@
     }
 }
 
-/// The finaliser of SplitMix64.
+/// Mixes the bits of a number with the finaliser of SplitMix64.
 fn mix(x: u64) -> u64 {
     let x = x.wrapping_add(0x9e37_79b9_7f4a_7c15);
     let x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -40,7 +40,7 @@
     x ^ (x >> 31)
 }
 
-/// Numbers at the start of a line that is not an action.
+/// First number of each kind of line that does not record an action.
 pub const SNAPSHOT: u64 = 100;
 pub const BACKEND_SNAPSHOT: u64 = 101;
 pub const TRACKED_ITEMS: u64 = 102;
