--- a/crates/policy/examples/decision_trace/simulation.rs
+++ b/crates/policy/examples/decision_trace/simulation.rs
@@ -76,7 +76,7 @@
     instances: Vec<Gateway>,
     backends: Vec<Backend>,
     counter: Counter,
-    attempts_in_flight: BTreeMap<AttemptKey, AttemptInFlight>,
+    in_flight: BTreeMap<AttemptKey, AttemptInFlight>,
     next_request: u64,
     pub trace: Trace,
     pub events: u64,
@@ -95,7 +95,7 @@
             instances: Vec::new(),
             backends,
             counter: Counter::new(scenario.counter.clone()),
-            attempts_in_flight: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             next_request: 1,
             trace,
             events: 0,
@@ -364,7 +364,7 @@
         let planned_end = model.draw_attempt(self.now, &self.scenario.settings, &mut self.rng);
         model.in_flight += 1;
         let connect = if self.rng.u32(0..40) == 0 { self.rng.u64(0..700) * MILLISECOND } else { 0 };
-        let mut running = AttemptInFlight {
+        let mut active = AttemptInFlight {
             backend: backend.0,
             sent: self.now,
             give_up_at: give_up,
@@ -373,31 +373,31 @@
             committed: false,
         };
         if self.now + connect > begin_by {
-            (running.outcome, running.ends) = (Outcome::NotSent, begin_by.max(self.now + 1));
+            (active.outcome, active.ends) = (Outcome::NotSent, begin_by.max(self.now + 1));
         } else if planned_end.outcome == Outcome::Success {
             let streams =
                 self.scenario.settings.classes[class].streaming || self.rng.f64() < self.scenario.streams;
             let starts = planned_end.after + connect;
             if streams && self.now + starts < give_up {
                 self.schedule(starts, SimulationEvent::ResponseStarts(key));
-                running.ends += self.rng.u64(100..6_000) * MILLISECOND;
-                running.outcome =
+                active.ends += self.rng.u64(100..6_000) * MILLISECOND;
+                active.outcome =
                     if self.rng.u32(0..8) == 0 { Outcome::ConnectionReset } else { Outcome::Success };
             } else if self.rng.f64() < self.scenario.uploads {
                 self.schedule(starts / 2, SimulationEvent::UploadCommits(key));
-                running.ends += self.rng.u64(100..5_000) * MILLISECOND;
+                active.ends += self.rng.u64(100..5_000) * MILLISECOND;
             }
         }
-        self.schedule_end(key, running);
+        self.schedule_end(key, active);
     }
 
     /// Schedules the end of an attempt, which replaces any earlier schedule.
-    fn schedule_end(&mut self, key: AttemptKey, mut running: AttemptInFlight) {
-        if running.ends > running.give_up_at && !running.committed {
-            (running.outcome, running.ends) = (Outcome::Timeout, running.give_up_at.max(self.now + 1));
+    fn schedule_end(&mut self, key: AttemptKey, mut active: AttemptInFlight) {
+        if active.ends > active.give_up_at && !active.committed {
+            (active.outcome, active.ends) = (Outcome::Timeout, active.give_up_at.max(self.now + 1));
         }
-        self.schedule(running.ends - self.now, SimulationEvent::AttemptEnds(key, running.ends));
-        self.attempts_in_flight.insert(key, running);
+        self.schedule(active.ends - self.now, SimulationEvent::AttemptEnds(key, active.ends));
+        self.in_flight.insert(key, active);
     }
 
     fn response_starts(&mut self, key: AttemptKey) {
@@ -411,31 +411,29 @@
     /// Commits a transfer, which from now on ends by itself instead of timing out.
     fn commit(&mut self, key: AttemptKey, event: Event) {
         let remaining = self.rng.u64(50..4_000) * MILLISECOND;
-        let Some(mut running) = self.attempts_in_flight.remove(&key) else { return };
-        if running.outcome == Outcome::Timeout {
-            running.outcome = Outcome::Success;
-            running.ends = self.now + remaining;
+        let Some(mut active) = self.in_flight.remove(&key) else { return };
+        if active.outcome == Outcome::Timeout {
+            active.outcome = Outcome::Success;
+            active.ends = self.now + remaining;
         }
-        running.committed = true;
-        self.schedule_end(key, running);
+        active.committed = true;
+        self.schedule_end(key, active);
         self.handle(key.0, event);
     }
 
     fn cancel(&mut self, key: AttemptKey) {
-        let Some(mut running) = self.attempts_in_flight.remove(&key) else { return };
+        let Some(mut active) = self.in_flight.remove(&key) else { return };
         let completes_first = self.rng.u32(0..20) == 0;
-        running.outcome = if completes_first { Outcome::Success } else { Outcome::Cancelled };
-        running.ends = self.now + self.rng.u64(200..2_000);
-        running.committed = true;
-        self.schedule_end(key, running);
+        active.outcome = if completes_first { Outcome::Success } else { Outcome::Cancelled };
+        active.ends = self.now + self.rng.u64(200..2_000);
+        active.committed = true;
+        self.schedule_end(key, active);
     }
 
     fn attempt_ends(&mut self, key: AttemptKey, ends: u64) {
-        let Some(running) = self.attempts_in_flight.get(&key).filter(|running| running.ends == ends) else {
-            return;
-        };
-        let (backend, outcome, elapsed) = (running.backend, running.outcome, self.now - running.sent);
-        self.attempts_in_flight.remove(&key);
+        let Some(active) = self.in_flight.get(&key).filter(|active| active.ends == ends) else { return };
+        let (backend, outcome, elapsed) = (active.backend, active.outcome, self.now - active.sent);
+        self.in_flight.remove(&key);
         let model = &mut self.backends[backend as usize];
         model.in_flight = model.in_flight.saturating_sub(1);
         let reported = outcome != Outcome::ConnectFailed && self.rng.f64() < self.scenario.load_reports;
@@ -530,7 +528,7 @@
     fn restart_gateway(&mut self, gateway: usize) {
         let incarnation = self.instances[gateway].incarnation + 1;
         self.instances[gateway] = self.start_gateway(gateway as u32, incarnation);
-        self.attempts_in_flight.retain(|key, _| key.0 != gateway);
+        self.in_flight.retain(|key, _| key.0 != gateway);
         self.send_list(gateway, EndpointListScope::Complete);
     }
 
--- a/crates/policy/tests/balancing.rs
+++ b/crates/policy/tests/balancing.rs
@@ -43,7 +43,7 @@
 #[test]
 fn timeouts_everywhere_eject_no_backend() {
     let mut harness = Harness::new(settings(), 4);
-    let mut last = Vec::new();
+    let mut recently_used = Vec::new();
     for i in 0..200 {
         let (id, out) = harness.request(0, 3, 1, 1.0);
         for (_, backend) in forwards(&out) {
@@ -53,13 +53,13 @@
             let out = harness.end_attempt(id, 0, backend, outcome);
             forwards(&out).iter().for_each(|(id, s)| drop(harness.end_attempt(*id, 1, *s, Outcome::Success)));
             if i >= 150 {
-                last.push(backend);
+                recently_used.push(backend);
             }
         }
     }
-    last.sort();
-    last.dedup();
-    assert!(last.len() >= 3, "backends used by the last attempts: {last:?}");
+    recently_used.sort();
+    recently_used.dedup();
+    assert!(recently_used.len() >= 3, "backends used by the last attempts: {recently_used:?}");
 }
 
 #[test]
@@ -125,9 +125,9 @@
         for i in 0..200 {
             harness.advance(7 * MILLISECOND);
             let (id, out) = harness.request((i % 4) as usize, (i % 3) as usize, i % 5, 1.0);
-            for (name, _) in counter_calls(&out) {
+            for (counter_key, _) in counter_calls(&out) {
                 let out = harness.handle(Event::CounterReplied {
-                    key: name,
+                    key: counter_key,
                     outcome: Outcome::Success,
                     total: (i % 17) as f64,
                 });
@@ -180,9 +180,9 @@
             vec![endpoint(old, EndpointState::Removed, None), endpoint(new, EndpointState::InService, None)];
         harness.handle(Event::EndpointList { scope: EndpointListScope::Changes, endpoints });
         let (id, mut out) = harness.request(0, 0, i, 1.0);
-        for (name, x) in counter_calls(&out) {
+        for (counter_key, x) in counter_calls(&out) {
             out.extend(harness.handle(Event::CounterReplied {
-                key: name,
+                key: counter_key,
                 outcome: Outcome::Success,
                 total: x,
             }));
--- a/crates/policy/tests/circuit_breaker.rs
+++ b/crates/policy/tests/circuit_breaker.rs
@@ -7,8 +7,8 @@
 fn fail_counter_calls(harness: &mut Harness, customer: u64) -> bool {
     let (_, out) = harness.request(0, 0, customer, 1.0);
     let calls = counter_calls(&out);
-    for (name, _) in &calls {
-        harness.handle(Event::CounterReplied { key: *name, outcome: Outcome::Rejected, total: 0.0 });
+    for (counter_key, _) in &calls {
+        harness.handle(Event::CounterReplied { key: *counter_key, outcome: Outcome::Rejected, total: 0.0 });
     }
     !calls.is_empty()
 }
@@ -59,8 +59,12 @@
         (1..=20).flat_map(|customer| counter_calls(&harness.request(0, 0, customer, 1.0).1)).collect();
     assert_eq!(calls.len(), 20, "all requests query");
     harness.advance(80 * MILLISECOND);
-    calls.iter().for_each(|(name, _)| {
-        drop(harness.handle(Event::CounterReplied { key: *name, outcome: Outcome::Timeout, total: 0.0 }))
+    calls.iter().for_each(|(counter_key, _)| {
+        drop(harness.handle(Event::CounterReplied {
+            key: *counter_key,
+            outcome: Outcome::Timeout,
+            total: 0.0,
+        }))
     });
     let querying = (100..200)
         .filter(|customer| !counter_calls(&harness.request(0, 0, *customer, 1.0).1).is_empty())
@@ -74,8 +78,8 @@
     for customer in 1..=40 {
         let (_, out) = harness.request(0, 0, customer, 1.0);
         let outcome = if customer % 2 == 0 { Outcome::ServerError } else { Outcome::Success };
-        counter_calls(&out).iter().for_each(|(name, x)| {
-            drop(harness.handle(Event::CounterReplied { key: *name, outcome, total: *x }))
+        counter_calls(&out).iter().for_each(|(counter_key, x)| {
+            drop(harness.handle(Event::CounterReplied { key: *counter_key, outcome, total: *x }))
         });
     }
     let querying = (100..200)
@@ -94,12 +98,12 @@
         harness.advance(if i == 1 { 2 * SECOND } else { 225 * MILLISECOND });
         let unverified = i % 2 == 1;
         let (id, mut out) = harness.request(0, 1, 9, if unverified { 3.0 } else { 1.0 });
-        while let Some((name, amount)) = counter_calls(&out).first().copied() {
-            total = if name == window { total } else { 0.0 };
-            window = name;
+        while let Some((counter_key, amount)) = counter_calls(&out).first().copied() {
+            total = if counter_key == window { total } else { 0.0 };
+            window = counter_key;
             total += if unverified { 0.0 } else { amount };
             let outcome = if unverified { Outcome::ConnectFailed } else { Outcome::Success };
-            out = harness.handle(Event::CounterReplied { key: name, outcome, total });
+            out = harness.handle(Event::CounterReplied { key: counter_key, outcome, total });
         }
         assert!(i == 0 || !rejected(&harness.actions, id), "request {i}");
         let sent = forwards(&harness.actions).into_iter().find(|(sent, _)| *sent == id);
@@ -147,8 +151,12 @@
     for i in 0..200 {
         let calls = counter_calls(&harness.request(0, 0, i, 1.0).1);
         harness.advance(80 * MILLISECOND);
-        calls.iter().for_each(|(name, _)| {
-            drop(harness.handle(Event::CounterReplied { key: *name, outcome: Outcome::Timeout, total: 0.0 }))
+        calls.iter().for_each(|(counter_key, _)| {
+            drop(harness.handle(Event::CounterReplied {
+                key: *counter_key,
+                outcome: Outcome::Timeout,
+                total: 0.0,
+            }))
         });
     }
     // Over 16 s, at most about one call per second is made once the breaker is open.
@@ -177,11 +185,11 @@
     for customer in 100..2_100 {
         harness.advance(10 * MILLISECOND);
         let (_, out) = harness.request(0, 0, customer, 1.0);
-        for (name, amount) in counter_calls(&out) {
+        for (counter_key, amount) in counter_calls(&out) {
             // Two failures and one success alternate, so three consecutive failures never occur.
             calls += u32::from(amount != 0.0);
             let outcome = if amount == 0.0 || calls % 3 == 0 { Outcome::Success } else { Outcome::Rejected };
-            harness.handle(Event::CounterReplied { key: name, outcome, total: amount });
+            harness.handle(Event::CounterReplied { key: counter_key, outcome, total: amount });
         }
     }
     assert!(calls < 200, "{calls} of 2000 requests queried the counter");
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -197,9 +197,9 @@
 
 pub fn counter_calls(out: &[Action]) -> Vec<(CounterKey, f64)> {
     out.iter()
-        .filter_map(|a| {
-            if let Action::AddToCounter { key: n, amount: x, .. } = a {
-                Some((*n, *x))
+        .filter_map(|action| {
+            if let Action::AddToCounter { key: counter_key, amount: added, .. } = action {
+                Some((*counter_key, *added))
             } else {
                 None
             }
@@ -208,12 +208,12 @@
 }
 /// Returns the counter calls that change a total.
 pub fn counter_adds(out: &[Action]) -> Vec<(CounterKey, f64)> {
-    counter_calls(out).into_iter().filter(|(_, x)| *x != 0.0).collect()
+    counter_calls(out).into_iter().filter(|(_, added)| *added != 0.0).collect()
 }
 pub fn forwards(out: &[Action]) -> Vec<(RequestId, BackendId)> {
     out.iter()
-        .filter_map(|a| {
-            if let Action::Forward { request: r, backend: s, .. } = a {
+        .filter_map(|action| {
+            if let Action::Forward { request: r, backend: s, .. } = action {
                 Some((*r, *s))
             } else {
                 None
@@ -222,7 +222,7 @@
         .collect()
 }
 pub fn rejected(out: &[Action], id: RequestId) -> bool {
-    out.iter().any(|a| matches!(a, Action::Reject { request: r, .. } if *r == id))
+    out.iter().any(|action| matches!(action, Action::Reject { request: r, .. } if *r == id))
 }
 pub fn failed(out: &[Action], id: RequestId) -> bool {
     out.contains(&Action::Fail(id))
--- a/crates/policy/tests/guarantees.rs
+++ b/crates/policy/tests/guarantees.rs
@@ -243,17 +243,17 @@
             let mut pending = out;
             while !pending.is_empty() {
                 let mut next = Vec::new();
-                for (name, amount) in counter_calls(&pending) {
+                for (counter_key, amount) in counter_calls(&pending) {
                     call += 1;
                     let (mut outcome, mut reported_total) = (Outcome::Rejected, 0.0);
                     if let Some(kept_share) = answer(call, amount) {
                         totals.values_mut().for_each(|total| *total *= kept_share);
-                        let total = totals.entry(name).or_insert(0.0);
+                        let total = totals.entry(counter_key).or_insert(0.0);
                         *total += amount;
                         (outcome, reported_total) = (Outcome::Success, *total);
                     }
                     next.extend(harness.handle(Event::CounterReplied {
-                        key: name,
+                        key: counter_key,
                         outcome,
                         total: reported_total,
                     }));
@@ -283,18 +283,18 @@
 #[test]
 fn the_ceiling_holds_while_the_counter_fails_intermittently() {
     for share in 2..12 {
-        let low = lowest_ceiling_level(|n| (n % share == 0).then_some(1.0));
-        assert!(low >= -4.0, "one call in {share} succeeds: lowest level {low}");
-        let low = lowest_ceiling_level(|n| (n % share != 0).then_some(1.0));
-        assert!(low >= -4.0, "one call in {share} fails: lowest level {low}");
+        let lowest = lowest_ceiling_level(|n| (n % share == 0).then_some(1.0));
+        assert!(lowest >= -4.0, "one call in {share} succeeds: lowest level {lowest}");
+        let lowest = lowest_ceiling_level(|n| (n % share != 0).then_some(1.0));
+        assert!(lowest >= -4.0, "one call in {share} fails: lowest level {lowest}");
     }
 }
 
 #[test]
 fn the_ceiling_holds_when_the_counter_loses_its_totals() {
-    for every in [61, 75, 90, 97, 130, 311, 701] {
-        let low = lowest_ceiling_level(|n| Some(if n % every == 0 { 0.0 } else { 1.0 }));
-        assert!(low >= -4.0, "totals lost every {every} calls: lowest level {low}");
+    for loss_interval in [61, 75, 90, 97, 130, 311, 701] {
+        let lowest = lowest_ceiling_level(|n| Some(if n % loss_interval == 0 { 0.0 } else { 1.0 }));
+        assert!(lowest >= -4.0, "totals lost every {loss_interval} calls: lowest level {lowest}");
     }
 }
 
@@ -302,11 +302,11 @@
 fn the_ceiling_holds_when_gateways_alternate_and_each_assumes_an_unused_burst() {
     // Every read of the previous window fails, and the gateways get traffic in alternate windows.
     for offset in (0..100).step_by(10) {
-        let low = lowest_ceiling_level_with(
+        let lowest = lowest_ceiling_level_with(
             |_, amount| (amount != 0.0).then_some(1.0),
             |harness, step| ((step + offset) / 100) % 2 == harness as u64,
         );
-        assert!(low >= -4.0, "offset {offset}: lowest level {low}");
+        assert!(lowest >= -4.0, "offset {offset}: lowest level {lowest}");
     }
 }
 
--- a/crates/policy/tests/large_fleets.rs
+++ b/crates/policy/tests/large_fleets.rs
@@ -135,9 +135,9 @@
         let is_client_retry = i % 2 == 1;
         let (id, mut out) = thinly_spread(&mut harness, is_client_retry);
         // One call in five is rejected, so the breaker stays closed.
-        for (name, _) in counter_calls(&out) {
+        for (counter_key, _) in counter_calls(&out) {
             let outcome = if i % 5 == 0 { Outcome::Rejected } else { Outcome::Success };
-            out.extend(harness.handle(Event::CounterReplied { key: name, outcome, total: 2.0 }));
+            out.extend(harness.handle(Event::CounterReplied { key: counter_key, outcome, total: 2.0 }));
         }
         let is_unverified = i % 5 == 0 && !forwards(&out).is_empty();
         forwarded_unverified[usize::from(is_client_retry)] += u32::from(is_unverified);
@@ -174,7 +174,7 @@
             harness.next_request += 1;
             let deadline = Micros(harness.now + 3 * SECOND);
             let (plan, customer) = (PlanId(1), CustomerId(9));
-            let a = Arrival {
+            let arrival = Arrival {
                 request: id,
                 plan,
                 customer,
@@ -183,10 +183,10 @@
                 units: 1.0,
                 ..Arrival::default()
             };
-            let mut out = harness.handle(Event::RequestArrived(a));
-            for (name, _) in counter_calls(&out) {
+            let mut out = harness.handle(Event::RequestArrived(arrival));
+            for (counter_key, _) in counter_calls(&out) {
                 out.extend(harness.handle(Event::CounterReplied {
-                    key: name,
+                    key: counter_key,
                     outcome: Outcome::Rejected,
                     total: 0.0,
                 }));
@@ -363,10 +363,10 @@
         let (id, mut out) = harness.request(0, plan, 1_000 + i as u64, 1.0);
         let calls = counter_calls(&out);
         counter_calls_made[plan] += calls.len();
-        for (name, _) in calls {
+        for (counter_key, _) in calls {
             // One call in three is rejected.
             let outcome = if i % 3 == 0 { Outcome::Rejected } else { Outcome::Success };
-            out.extend(harness.handle(Event::CounterReplied { key: name, outcome, total: 1.0 }));
+            out.extend(harness.handle(Event::CounterReplied { key: counter_key, outcome, total: 1.0 }));
         }
         forwards(&out).iter().for_each(|(_, s)| drop(harness.end_attempt(id, 0, *s, Outcome::Success)));
     }
@@ -386,10 +386,10 @@
         for _ in 0..requests {
             harness.advance(125 * MILLISECOND);
             let (id, mut out) = thinly_spread(&mut harness, false);
-            for (name, amount) in counter_calls(&out) {
+            for (counter_key, amount) in counter_calls(&out) {
                 let total = if amount > 0.0 { total } else { total + amount };
                 out.extend(harness.handle(Event::CounterReplied {
-                    key: name,
+                    key: counter_key,
                     outcome: Outcome::Success,
                     total,
                 }));
@@ -425,14 +425,14 @@
     total: f64,
     send: &SendRequest,
 ) -> (u32, u32) {
-    let (mut unverified, mut sent) = (0, 0);
+    let (mut unverified, mut forwarded) = (0, 0);
     for _ in 0..requests_sent {
         let (id, mut out) = send(harness);
         let calls = counter_calls(&out);
         harness.advance(reply_delay);
-        for (name, _) in &calls {
+        for (counter_key, _) in &calls {
             out.extend(harness.handle(Event::CounterReplied {
-                key: *name,
+                key: *counter_key,
                 outcome: Outcome::Success,
                 total,
             }));
@@ -440,10 +440,10 @@
         let was_forwarded = end_successfully(harness, id, &out);
         if calls.is_empty() {
             unverified += 1;
-            sent += u32::from(was_forwarded);
+            forwarded += u32::from(was_forwarded);
         }
     }
-    (unverified, sent)
+    (unverified, forwarded)
 }
 
 /// Reply delays: `SLOW_REPLY` keeps the query share low, and `FAST_REPLY` lets it rise.
@@ -469,10 +469,10 @@
 
 /// Returns the share of unverified first requests that such a gateway forwards.
 fn share_forwarded_unverified(plan: QuotaPlan, total: f64) -> f64 {
-    let (unverified, sent) =
+    let (unverified, forwarded) =
         count_unverified(&mut with_learned_totals(plan, total), 600, SLOW_REPLY, total, &first_request);
     assert!(unverified > 100, "{unverified} requests were unverified");
-    f64::from(sent) / f64::from(unverified)
+    f64::from(forwarded) / f64::from(unverified)
 }
 
 #[test]
@@ -509,19 +509,29 @@
 #[test]
 fn estimates_from_thinly_spread_customers_affect_others_little_and_not_while_the_counter_is_silent() {
     let mut harness = with_learned_totals(plan(10.0, 20.0), 60.0);
-    let (unverified, sent) = count_unverified(&mut harness, 60, SLOW_REPLY, 60.0, &concentrated);
-    assert!(unverified > 20 && unverified == sent, "{sent} of {unverified}");
+    let (unverified, forwarded) = count_unverified(&mut harness, 60, SLOW_REPLY, 60.0, &concentrated);
+    assert!(
+        unverified > 20 && unverified == forwarded,
+        "{forwarded} of {unverified} unverified requests forwarded"
+    );
     // Each of six gateways has a local share of five sixths of a request, so it may forward that share of the requests.
-    let (unverified, sent) = count_unverified(&mut harness, 200, SLOW_REPLY, 60.0, &|harness| {
+    let (unverified, forwarded) = count_unverified(&mut harness, 200, SLOW_REPLY, 60.0, &|harness| {
         spread_over(harness, 6, 1_000_000 + harness.next_request, false)
     });
-    assert!(unverified > 100 && sent * 10 > unverified * 7 && sent < unverified, "{sent} of {unverified}");
+    assert!(
+        unverified > 100 && forwarded * 10 > unverified * 7 && forwarded < unverified,
+        "{forwarded} of {unverified} unverified requests forwarded"
+    );
     // Once the counter is silent, only the local buckets decide, and each starts with one request.
     while !harness.engine.snapshot().breaker_open {
         let (_, out) = thinly_spread(&mut harness, false);
         harness.advance(100 * MILLISECOND);
-        counter_calls(&out).iter().for_each(|(name, _)| {
-            drop(harness.handle(Event::CounterReplied { key: *name, outcome: Outcome::Timeout, total: 0.0 }))
+        counter_calls(&out).iter().for_each(|(counter_key, _)| {
+            drop(harness.handle(Event::CounterReplied {
+                key: *counter_key,
+                outcome: Outcome::Timeout,
+                total: 0.0,
+            }))
         });
     }
     let (id, out) = thinly_spread(&mut harness, false);
@@ -531,17 +541,21 @@
 #[test]
 fn a_known_total_in_the_current_window_alone_decides_for_its_customer() {
     let mut harness = with_learned_totals(plan(10.0, 20.0), 60.0);
-    let (mut decided_locally, mut sent) = (0, 0);
+    let (mut decided_locally, mut forwarded) = (0, 0);
     while decided_locally < 10 {
         let customer = 1_000_000 + harness.next_request;
         let (id, out) = spread_over(&mut harness, 200, customer, false);
         let calls = counter_calls(&out);
         harness.advance(SLOW_REPLY);
-        let Some((name, _)) = calls.first() else {
+        let Some((counter_key, _)) = calls.first() else {
             end_successfully(&mut harness, id, &out);
             continue;
         };
-        let out = harness.handle(Event::CounterReplied { key: *name, outcome: Outcome::Success, total: 2.0 });
+        let out = harness.handle(Event::CounterReplied {
+            key: *counter_key,
+            outcome: Outcome::Success,
+            total: 2.0,
+        });
         end_successfully(&mut harness, id, &out);
         harness.advance(SLOW_REPLY);
         // The last reply showed that its quota is nearly unused.
@@ -549,22 +563,25 @@
         let was_forwarded = end_successfully(&mut harness, id, &out);
         if counter_calls(&out).is_empty() {
             decided_locally += 1;
-            sent += u32::from(was_forwarded);
+            forwarded += u32::from(was_forwarded);
         }
     }
-    assert_eq!(sent, decided_locally);
+    assert_eq!(forwarded, decided_locally);
 }
 
 #[test]
 fn retries_and_concentrated_customers_do_not_affect_estimates_for_thinly_spread_first_requests() {
     // A client retries because it was just rejected, so its quota is used up.
     let repeat = |harness: &mut Harness| thinly_spread(harness, true);
-    for other in [&repeat as &SendRequest, &concentrated] {
+    for send_other in [&repeat as &SendRequest, &concentrated] {
         let mut harness = with_learned_totals(plan(10.0, 20.0), 2.0);
         count_unverified(&mut harness, 1_000, FAST_REPLY, 2.0, &first_request);
-        let (unverified, _) = count_unverified(&mut harness, 300, FAST_REPLY, 60.0, other);
+        let (unverified, _) = count_unverified(&mut harness, 300, FAST_REPLY, 60.0, send_other);
         assert!(unverified < 30, "{unverified} unverified requests: these requests query the counter");
-        let (unverified, sent) = count_unverified(&mut harness, 300, SLOW_REPLY, 2.0, &first_request);
-        assert!(unverified > 100 && unverified == sent, "{sent} of {unverified}");
+        let (unverified, forwarded) = count_unverified(&mut harness, 300, SLOW_REPLY, 2.0, &first_request);
+        assert!(
+            unverified > 100 && unverified == forwarded,
+            "{forwarded} of {unverified} unverified requests forwarded"
+        );
     }
 }
--- a/crates/policy/tests/quota_window.rs
+++ b/crates/policy/tests/quota_window.rs
@@ -140,18 +140,20 @@
 fn the_cap_on_concurrent_requests_is_counted_and_released() {
     let mut harness = Harness::new(settings(), 4);
     let (id, out) = harness.request(0, 2, 1, 1.0);
-    let (name, one) = counter_adds(&out)[0];
-    assert_eq!(one, 1.0);
-    let out = harness.handle(Event::CounterReplied { key: name, outcome: Outcome::Success, total: 1.0 });
+    let (counter_key, added) = counter_adds(&out)[0];
+    assert_eq!(added, 1.0);
+    let out =
+        harness.handle(Event::CounterReplied { key: counter_key, outcome: Outcome::Success, total: 1.0 });
     let backend = forwards(&out)[0].1;
     let out = harness.end_attempt(id, 0, backend, Outcome::Success);
-    assert_eq!(counter_adds(&out), [(name, -1.0)]);
-    harness.handle(Event::CounterReplied { key: name, outcome: Outcome::Success, total: 0.0 });
+    assert_eq!(counter_adds(&out), [(counter_key, -1.0)]);
+    harness.handle(Event::CounterReplied { key: counter_key, outcome: Outcome::Success, total: 0.0 });
     let (id, out) = harness.request(0, 2, 1, 1.0);
-    assert_eq!(counter_adds(&out), [(name, 1.0)]);
-    let out = harness.handle(Event::CounterReplied { key: name, outcome: Outcome::Success, total: 3.0 });
+    assert_eq!(counter_adds(&out), [(counter_key, 1.0)]);
+    let out =
+        harness.handle(Event::CounterReplied { key: counter_key, outcome: Outcome::Success, total: 3.0 });
     assert!(rejected(&out, id), "two requests run elsewhere");
-    assert_eq!(counter_adds(&out), [(name, -1.0)], "the slot is released");
+    assert_eq!(counter_adds(&out), [(counter_key, -1.0)], "the slot is released");
 }
 
 #[test]
@@ -170,10 +172,13 @@
         for _ in 0..4 {
             harness.advance(2 * SECOND);
             let (id, out) = harness.request(0, 0, 1, 4.0);
-            for (name, amount) in counter_calls(&out) {
+            for (counter_key, amount) in counter_calls(&out) {
                 let total = if amount > 0.0 { 4.0 + others } else { 0.0 };
-                let out =
-                    harness.handle(Event::CounterReplied { key: name, outcome: Outcome::Success, total });
+                let out = harness.handle(Event::CounterReplied {
+                    key: counter_key,
+                    outcome: Outcome::Success,
+                    total,
+                });
                 forwards(&out)
                     .iter()
                     .for_each(|(_, s)| drop(harness.end_attempt(id, 0, *s, Outcome::Success)));
@@ -183,9 +188,9 @@
         for _ in 0..300 {
             harness.advance(100 * MILLISECOND);
             let (id, mut out) = harness.request(0, 0, 1, 1.0);
-            for (name, _) in counter_calls(&out.clone()) {
+            for (counter_key, _) in counter_calls(&out.clone()) {
                 out.extend(harness.handle(Event::CounterReplied {
-                    key: name,
+                    key: counter_key,
                     outcome: Outcome::Rejected,
                     total: 0.0,
                 }));
