--- a/crates/policy/examples/decision_trace/simulation.rs
+++ b/crates/policy/examples/decision_trace/simulation.rs
@@ -447,7 +447,7 @@
         let ended = open.answered || outcome == Outcome::Success;
         open.answered = ended;
         let settles = outcome == Outcome::Success && self.rng.f64() < self.scenario.settled_units;
-        let measured_units = settles.then(|| open.client_request.units * (0.2 + 1.6 * self.rng.f64()));
+        let settled_amount = settles.then(|| open.client_request.units * (0.2 + 1.6 * self.rng.f64()));
         let end = AttemptResult {
             request: RequestId(key.1),
             attempt: key.2,
@@ -455,7 +455,7 @@
             outcome,
             elapsed: Micros(elapsed),
             request_answered: ended,
-            settled_units: measured_units,
+            settled_units: settled_amount,
             load_report: report,
         };
         let is_repeated = self.rng.u32(0..100) == 0;
