--- a/crates/gateway/src/admin.rs
+++ b/crates/gateway/src/admin.rs
@@ -63,7 +63,7 @@
 /// Serves operators for ever.
 pub async fn serve(listener: TcpListener, section: AdminSection, sources: Sources) {
     let connections = Arc::new(Semaphore::new(section.connections.get()));
-    let max_duration = section.timeout_ms.ms();
+    let max_duration = section.timeout_ms.to_duration();
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -49,7 +49,7 @@
     /// The limits on streams; without them nothing is streamed.
     pub streaming: Option<StreamSettings>,
     /// A digest of the effective configuration.
-    pub file: u64,
+    pub config_digest: u64,
 }
 
 impl fmt::Display for Upstreams {
@@ -71,7 +71,7 @@
     /// The seed of all random numbers.
     pub(crate) seed: u64,
     /// The endpoint list as it was last known.
-    pub(crate) known: EndpointList,
+    pub(crate) saved_endpoints: EndpointList,
     pub(crate) site: Site,
     pub(crate) sockets: SocketLimits,
     pub(crate) pool: PoolSettings,
@@ -99,7 +99,7 @@
             counter: self.counter,
             pool: self.pool,
             streaming: self.streaming,
-            file: self.digest(),
+            config_digest: self.digest(),
         }
     }
 
@@ -109,7 +109,7 @@
     }
 
     /// The address for operators.
-    pub fn admin(&self) -> Option<SocketAddr> {
+    pub fn admin_address(&self) -> Option<SocketAddr> {
         self.admin.as_ref().map(|admin| admin.listen)
     }
 
--- a/crates/gateway/src/config/build.rs
+++ b/crates/gateway/src/config/build.rs
@@ -49,7 +49,7 @@
     let (document, mut problems) = problems::read::<Document>(written.clone(), &document::SECTIONS);
     problems.append(names_problems);
     let Some(document) = document else { return Err(problems.into()) };
-    let (known, known_problem) = read_known(known, &names);
+    let (saved_endpoints, known_problem) = read_known(known, &names);
     report_by_origin(known_problem, source.origin, &mut problems, &mut ignored);
     let seed = read_seed(document.seed, &mut problems);
     let listen = required(&mut problems, "listen", source.listen.or(document.listen));
@@ -86,7 +86,7 @@
         discovery,
         counter: document.counter,
         seed,
-        known,
+        saved_endpoints,
         site,
         sockets,
         pool,
--- a/crates/gateway/src/config/document.rs
+++ b/crates/gateway/src/config/document.rs
@@ -12,48 +12,48 @@
 use std::time::Duration;
 
 /// The longest span that a key may name.
-pub const LONGEST_MS: u64 = 3_600_000;
+pub const MAX_DURATION_MS: u64 = 3_600_000;
 
 /// A whole number from 1 to `MAX`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
-pub struct Whole<const MAX: u64>(u64);
+pub struct BoundedInt<const MAX: u64>(u64);
 
 /// A span in milliseconds.
-pub type Span = Whole<LONGEST_MS>;
+pub type Millis = BoundedInt<MAX_DURATION_MS>;
 /// A count.
-pub type Count = Whole<1_000_000>;
+pub type Count = BoundedInt<1_000_000>;
 
-impl<const MAX: u64> Whole<MAX> {
+impl<const MAX: u64> BoundedInt<MAX> {
     /// The number.
     pub fn get(self) -> usize {
         usize::try_from(self.0).unwrap_or(usize::MAX)
     }
     /// As milliseconds.
-    pub fn ms(self) -> Duration {
+    pub fn to_duration(self) -> Duration {
         Duration::from_millis(self.0)
     }
 }
 
-impl<const MAX: u64> Whole<MAX> {
+impl<const MAX: u64> BoundedInt<MAX> {
     /// Reads one; `None` if it is none, or out of its range.
     pub fn read(value: &Value) -> Option<Self> {
-        value.as_u64().filter(|number| (1..=MAX).contains(number)).map(Whole)
+        value.as_u64().filter(|number| (1..=MAX).contains(number)).map(BoundedInt)
     }
 }
 
-impl<'de, const MAX: u64> Deserialize<'de> for Whole<MAX> {
+impl<'de, const MAX: u64> Deserialize<'de> for BoundedInt<MAX> {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        let number = Whole::read(&Value::deserialize(deserializer)?);
+        let number = BoundedInt::read(&Value::deserialize(deserializer)?);
         number.ok_or_else(|| D::Error::custom(format!("expected a whole number from 1 to {MAX}")))
     }
 }
 
-impl<const MAX: u64> JsonSchema for Whole<MAX> {
+impl<const MAX: u64> JsonSchema for BoundedInt<MAX> {
     fn inline_schema() -> bool {
         true
     }
     fn schema_name() -> Cow<'static, str> {
-        format!("Whole{MAX}").into()
+        format!("BoundedInt{MAX}").into()
     }
     fn json_schema(_: &mut schemars::SchemaGenerator) -> schemars::Schema {
         schemars::json_schema!({"type": "integer", "minimum": 1, "maximum": MAX})
@@ -113,7 +113,7 @@
 
 impl Default for Limits {
     fn default() -> Limits {
-        Limits { cores: None, memory_mb: Whole(192), sockets: Whole(1024) }
+        Limits { cores: None, memory_mb: BoundedInt(192), sockets: BoundedInt(1024) }
     }
 }
 
@@ -130,19 +130,19 @@
     /// Backends to which idle connections are kept; by default 64, or links.
     pub idle_backends: Option<Count>,
     /// Idle connections are retired from this age; by default half of settings.bounds.conn_idle.
-    pub idle_least_ms: Option<Span>,
+    pub idle_least_ms: Option<Millis>,
     /// And up to this one; by default three quarters of it.
-    pub idle_most_ms: Option<Span>,
+    pub idle_most_ms: Option<Millis>,
     /// Requests that wait for a connection, all together; by default links.
     pub waiting: Option<Count>,
     /// The same for one backend; by default four times backend_most.
     pub backend_waiting: Option<Count>,
     /// How long one waits; by default settings.bounds.dial_timeout.
-    pub wait_ms: Option<Span>,
+    pub wait_ms: Option<Millis>,
     /// The pause after a first failed dial, before jitter; by default 100.
-    pub backoff_least_ms: Option<Span>,
+    pub backoff_least_ms: Option<Millis>,
     /// What it doubles up to; by default 1000.
-    pub backoff_most_ms: Option<Span>,
+    pub backoff_most_ms: Option<Millis>,
     /// Open connections ahead of need; by default false.
     pub warm_up: Option<bool>,
     /// How many a second; by default 2.
@@ -156,25 +156,25 @@
 #[serde(deny_unknown_fields, default)]
 pub struct StreamingSection {
     /// KiB that are held back of an answer before commitment, and kept of an upload to be sent again.
-    pub hold_kb: Whole<16_384>,
+    pub hold_kb: BoundedInt<16_384>,
     /// How long a new stream waits for memory.
-    pub wait_ms: Span,
+    pub wait_ms: Millis,
     /// The least rate of whichever side is waited for, over each window.
-    pub least_kb_per_s: Whole<16_384>,
+    pub least_kb_per_s: BoundedInt<16_384>,
     /// The window.
-    pub window_ms: Span,
+    pub window_ms: Millis,
     /// The longest transfer, in seconds.
-    pub longest_s: Whole<604_800>,
+    pub longest_s: BoundedInt<604_800>,
 }
 
 impl Default for StreamingSection {
     fn default() -> StreamingSection {
         StreamingSection {
-            hold_kb: Whole(64),
-            wait_ms: Whole(500),
-            least_kb_per_s: Whole(1),
-            window_ms: Whole(5_000),
-            longest_s: Whole(3_600),
+            hold_kb: BoundedInt(64),
+            wait_ms: BoundedInt(500),
+            least_kb_per_s: BoundedInt(1),
+            window_ms: BoundedInt(5_000),
+            longest_s: BoundedInt(3_600),
         }
     }
 }
@@ -186,15 +186,15 @@
     /// Where it listens.
     pub listen: SocketAddr,
     /// Connections at once; further ones are closed.
-    pub connections: Whole<64>,
+    pub connections: BoundedInt<64>,
     /// How long one may take, its client's reading included.
-    pub timeout_ms: Span,
+    pub timeout_ms: Millis,
 }
 
 impl Default for AdminSection {
     fn default() -> AdminSection {
         let listen = SocketAddr::from(([127, 0, 0, 1], 9901));
-        AdminSection { listen, connections: Whole(8), timeout_ms: Whole(2_000) }
+        AdminSection { listen, connections: BoundedInt(8), timeout_ms: BoundedInt(2_000) }
     }
 }
 
@@ -213,13 +213,13 @@
     /// Addresses that others tell of themselves, and by which they are reached from here.
     pub via: BTreeMap<SocketAddr, SocketAddr>,
     /// Each gateway probes one other so often.
-    pub probe_ms: Span,
+    pub probe_ms: Millis,
     /// How long gateways that are gone are remembered, in seconds.
-    pub forget_s: Whole<604_800>,
+    pub forget_s: BoundedInt<604_800>,
     /// The most gateways that are kept in mind, those that are gone included.
-    pub most: Whole<10_000>,
+    pub most: BoundedInt<10_000>,
     /// How long one must be gone before the shares of the others grow.
-    pub hold_ms: Span,
+    pub hold_ms: Millis,
     /// What is added to the system's clock, in milliseconds; for tests of clocks that lie apart.
     pub clock_ahead_ms: i64,
     /// The plan that all gateways act on. Absent: there is none.
@@ -234,10 +234,10 @@
             cluster: "lanespan".to_string(),
             join: Vec::new(),
             via: BTreeMap::new(),
-            probe_ms: Whole(1_000),
-            forget_s: Whole(3_600),
-            most: Whole(1_000),
-            hold_ms: Whole(5_000),
+            probe_ms: BoundedInt(1_000),
+            forget_s: BoundedInt(3_600),
+            most: BoundedInt(1_000),
+            hold_ms: BoundedInt(5_000),
             clock_ahead_ms: 0,
             plan: None,
         }
@@ -259,13 +259,13 @@
     /// Addresses that others tell as their plan's, and by which they are reached from here.
     pub via: BTreeMap<SocketAddr, SocketAddr>,
     /// A tick of the voters: an election takes 10 to 20 of them.
-    pub tick_ms: Span,
+    pub tick_ms: Millis,
     /// How long a duty is held without a renewal; 20 ticks at least.
-    pub lease_ms: Span,
+    pub lease_ms: Millis,
     /// How long the last plan is acted on without news, in seconds.
-    pub trust_s: Whole<604_800>,
+    pub trust_s: BoundedInt<604_800>,
     /// How long giving it up takes, in seconds.
-    pub ramp_s: Whole<604_800>,
+    pub ramp_s: BoundedInt<604_800>,
 }
 
 impl Default for PlanSection {
@@ -276,10 +276,10 @@
             voters: BTreeMap::new(),
             directory: None,
             via: BTreeMap::new(),
-            tick_ms: Whole(100),
-            lease_ms: Whole(5_000),
-            trust_s: Whole(30),
-            ramp_s: Whole(30),
+            tick_ms: BoundedInt(100),
+            lease_ms: BoundedInt(5_000),
+            trust_s: BoundedInt(30),
+            ramp_s: BoundedInt(30),
         }
     }
 }
--- a/crates/gateway/src/config/effective.rs
+++ b/crates/gateway/src/config/effective.rs
@@ -13,13 +13,13 @@
     pub fn effective(&self) -> Value {
         json!({
             "name": self.name, "listen": self.listen, "discovery": self.discovery, "counter": self.counter,
-            "memory_bytes": self.memory, "known_backends": self.known.endpoints.len(),
+            "memory_bytes": self.memory, "known_backends": self.saved_endpoints.endpoints.len(),
             "connections": {
                 "clients": self.sockets.clients, "backends": self.pool.max_connections, "counter": self.sockets.counter,
             },
             "pool": pool(&self.pool),
             "streaming": self.streaming.as_ref().map(streaming),
-            "admin": self.admin(),
+            "admin": self.admin_address(),
             "fleet": self.fleet.as_ref().map(fleet),
             "settings": self.document.get("settings"),
         })
--- a/crates/gateway/src/config/fleet.rs
+++ b/crates/gateway/src/config/fleet.rs
@@ -74,10 +74,10 @@
             cluster: section.cluster,
             seed_addresses: section.join,
             address_map: section.via,
-            probe_period: section.probe_ms.ms(),
+            probe_period: section.probe_ms.to_duration(),
             retention: Duration::from_secs(section.forget_s.get() as u64),
             max_members: section.most.get(),
-            departure_hold: section.hold_ms.ms(),
+            departure_hold: section.hold_ms.to_duration(),
             clock_ahead_ms: section.clock_ahead_ms,
         };
         fleet.check(problems);
--- a/crates/gateway/src/config/site.rs
+++ b/crates/gateway/src/config/site.rs
@@ -86,7 +86,7 @@
 
 fn read_values(values: &BTreeMap<String, String>) -> Result<SiteValues, SiteError> {
     let pairs = values.iter().map(|(name, value)| (name.as_str(), value.as_str())).collect();
-    let fields = Fields { place: SECTION.into(), message: SECTION, pairs };
+    let fields = Fields { place: SECTION.into(), message_type: SECTION, pairs };
     let site = Site::read(&fields)?;
     site.settings.check()?;
     let duration = |name, default_micros| -> Result<Duration, FieldError> {
--- a/crates/gateway/src/driver.rs
+++ b/crates/gateway/src/driver.rs
@@ -82,7 +82,7 @@
             pool: Pool::new(config.pool, config.dial_timeout, config.seed),
             streams: Rc::new(StreamLimits::new(config.streaming, config.memory)),
             metrics: config.admin.is_some(),
-            saved_endpoints: config.known,
+            saved_endpoints: config.saved_endpoints,
             seed: config.seed,
             site: config.site,
             clock,
--- a/crates/gateway/src/driver/endpoints.rs
+++ b/crates/gateway/src/driver/endpoints.rs
@@ -124,7 +124,7 @@
     }
 
     fn apply_entry(&mut self, entry: EndpointEntry) -> Endpoint {
-        let id = self.site.backend(&entry.id);
+        let id = self.site.backend_id(&entry.id);
         let state = state(entry.phase);
         match state {
             EndpointState::InService => self.open(id, entry.address, entry.started_at_ms),
@@ -132,7 +132,7 @@
         }
         Endpoint {
             backend: id,
-            zone: self.site.zone(&entry.zone),
+            zone: self.site.zone_id(&entry.zone),
             cell: CellId(entry.cell),
             state,
             weight: entry.weight,
--- a/crates/gateway/src/fleet.rs
+++ b/crates/gateway/src/fleet.rs
@@ -229,7 +229,7 @@
         if announced.versions_at.is_none_or(|at| self.now() >= at + self.probe_period) {
             announced.versions_at = Some(self.now());
             self.announce(facts::ENDPOINT_LIST_REVISION, &sources.endpoint_list_revision.get().to_string());
-            let digest = sources.upstreams.borrow().file;
+            let digest = sources.upstreams.borrow().config_digest;
             self.announce(facts::CONFIG_DIGEST, &format!("{digest:016x}"));
         }
     }
--- a/crates/gateway/src/pool/settings.rs
+++ b/crates/gateway/src/pool/settings.rs
@@ -1,6 +1,6 @@
 //! The `pool` section of the configuration: the limits on connections to backends.
 
-use crate::config::document::{Count, PoolSection, Span};
+use crate::config::document::{Count, Millis, PoolSection};
 use crate::config_error::ConfigError;
 use std::fmt::Debug;
 use std::time::Duration;
@@ -77,7 +77,8 @@
         environment: &PoolEnvironment,
     ) -> Result<PoolSettings, ConfigError> {
         let count = |key: Option<Count>, default: usize| key.map_or(default.max(1), Count::get);
-        let time = |key: Option<Span>, default: Duration| key.map_or(default.max(MIN_TIME), Span::ms);
+        let time =
+            |key: Option<Millis>, default: Duration| key.map_or(default.max(MIN_TIME), Millis::to_duration);
         let max_connections = count(section.links, environment.default_connections);
         let min_backend_connections = count(section.backend_least, 2.min(max_connections));
         let default_part = default_part(environment.gateway_count, max_connections);
--- a/crates/gateway/src/relay/settings.rs
+++ b/crates/gateway/src/relay/settings.rs
@@ -40,11 +40,11 @@
             let bound = format!("what limits.memory_mb leaves for one stream, {max_hold_kb}");
             return Err(ConfigError::new(format!("streaming.hold_kb: {hold_kb} is over {bound}")));
         }
-        let window = section.window_ms.ms();
+        let window = section.window_ms.to_duration();
         let min_bytes_per_s = (section.least_kb_per_s.get() * BYTES_PER_KB) as f64;
         Ok(StreamSettings {
             hold_bytes: hold_kb * BYTES_PER_KB,
-            memory_wait: section.wait_ms.ms(),
+            memory_wait: section.wait_ms.to_duration(),
             min_window_bytes: (min_bytes_per_s * window.as_secs_f64()) as u64,
             window,
             max_duration: Duration::from_secs(section.longest_s.get() as u64),
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -122,7 +122,7 @@
         let settings = &config.site.settings;
         // Where the list must be asked for, each call is work for a service that all gateways share.
         let subscribes = settings.endpoint_subscription;
-        let has_saved_list = !config.known.endpoints.is_empty();
+        let has_saved_list = !config.saved_endpoints.endpoints.is_empty();
         Setup {
             name: config.name.clone(),
             listen: config.listen,
@@ -131,7 +131,7 @@
             admin: config.admin.clone(),
             names: Rc::new(config.names.clone()),
             gateways_calling_discovery: if subscribes { settings.gateway_count } else { 0 },
-            saved_revision: (subscribes && has_saved_list).then_some(config.known.revision),
+            saved_revision: (subscribes && has_saved_list).then_some(config.saved_endpoints.revision),
             max_clients: config.sockets.clients,
             bodies_memory: config.memory / BODIES_MEMORY_DIVISOR,
             classes: known_classes(config),
--- a/crates/gateway/tests/discovery.rs
+++ b/crates/gateway/tests/discovery.rs
@@ -44,7 +44,7 @@
         backend_idle_timeout: Duration::from_secs(1),
     };
     let pool = PoolSettings::from_section(&PoolSection::default(), &environment).expect("defaults");
-    let upstreams = Upstreams { discovery, counter: None, pool, streaming: None, file: 0 };
+    let upstreams = Upstreams { discovery, counter: None, pool, streaming: None, config_digest: 0 };
     let (moves, upstreams) = watch::channel(upstreams);
     let (driver, events) = mpsc::channel(8);
     let params = discovery::Params { upstreams, driver, backoff, known_revision, names: Rc::default() };
--- a/crates/lanespan/src/cli.rs
+++ b/crates/lanespan/src/cli.rs
@@ -204,7 +204,7 @@
         let source = config_source(self.config.clone(), false)?;
         let config = source.read()?;
         let path = source.sections.as_ref().unwrap_or(&source.path);
-        config.admin().ok_or_else(|| UsageError::NoAdminSection(path.clone()))
+        config.admin_address().ok_or_else(|| UsageError::NoAdminSection(path.clone()))
     }
 }
 
--- a/crates/settings/src/fields.rs
+++ b/crates/settings/src/fields.rs
@@ -48,7 +48,7 @@
     /// Where the values stood, for errors: `line 3: START`, or another place.
     pub place: String,
     /// What kind of message holds them.
-    pub message: &'a str,
+    pub message_type: &'a str,
     /// The values as text, by their names.
     pub pairs: HashMap<&'a str, &'a str>,
 }
@@ -57,8 +57,8 @@
     /// Reads a line of the simulator's wire: the kind of message, then `name=value` for each value.
     pub fn parse(line_number: u64, line: &'a str) -> Result<Fields<'a>, FieldError> {
         let mut parts = line.split(' ');
-        let message = parts.next().unwrap_or("");
-        let place = format!("line {line_number}: {message}");
+        let message_type = parts.next().unwrap_or("");
+        let place = format!("line {line_number}: {message_type}");
         let mut pairs = HashMap::new();
         for part in parts {
             let Some((name, value)) = part.split_once('=') else {
@@ -66,7 +66,7 @@
             };
             pairs.insert(name, value);
         }
-        Ok(Fields { place, message, pairs })
+        Ok(Fields { place, message_type, pairs })
     }
 
     /// The error of a value that is not what was expected.
@@ -88,24 +88,24 @@
     }
 
     /// A whole number that must be there.
-    pub fn whole(&self, name: &str) -> Result<u64, FieldError> {
+    pub fn required_u64(&self, name: &str) -> Result<u64, FieldError> {
         const EXPECTED: &str = "a whole number";
         self.optional(name, EXPECTED)?.ok_or_else(|| self.unexpected(name, EXPECTED))
     }
 
     /// A whole number, or a default.
-    pub fn whole_or(&self, name: &str, default: u64) -> Result<u64, FieldError> {
+    pub fn u64_or(&self, name: &str, default: u64) -> Result<u64, FieldError> {
         Ok(self.optional(name, "a whole number")?.unwrap_or(default))
     }
 
     /// A whole number of 32 bits that must be there.
-    pub fn small(&self, name: &str) -> Result<u32, FieldError> {
+    pub fn required_u32(&self, name: &str) -> Result<u32, FieldError> {
         const EXPECTED: &str = "a small whole number";
         self.optional(name, EXPECTED)?.ok_or_else(|| self.unexpected(name, EXPECTED))
     }
 
     /// A finite number, or a default.
-    pub fn real_or(&self, name: &str, default: f64) -> Result<f64, FieldError> {
+    pub fn f64_or(&self, name: &str, default: f64) -> Result<f64, FieldError> {
         match self.optional::<f64>(name, "a number")? {
             Some(value) if !value.is_finite() => Err(self.unexpected(name, "a finite number")),
             value => Ok(value.unwrap_or(default)),
@@ -114,11 +114,11 @@
 
     /// A span in microseconds, or a default.
     pub fn micros_or(&self, name: &str, default: u64) -> Result<Micros, FieldError> {
-        self.whole_or(name, default).map(Micros)
+        self.u64_or(name, default).map(Micros)
     }
 
     /// True or false, or a default.
-    pub fn flag_or(&self, name: &str, default: bool) -> Result<bool, FieldError> {
+    pub fn bool_or(&self, name: &str, default: bool) -> Result<bool, FieldError> {
         match self.pairs.get(name) {
             None => Ok(default),
             Some(&"1" | &"true") => Ok(true),
@@ -128,7 +128,7 @@
     }
 
     /// A text that must be there.
-    pub fn text(&self, name: &str) -> Result<&'a str, FieldError> {
+    pub fn required_str(&self, name: &str) -> Result<&'a str, FieldError> {
         self.pairs.get(name).copied().ok_or_else(|| self.unexpected(name, "a text"))
     }
 }
--- a/crates/settings/src/site.rs
+++ b/crates/settings/src/site.rs
@@ -38,7 +38,7 @@
 
     /// The id of a backend's name: the FNV-1a hash, so that it is the same at every gateway, or the next free one on a
     /// collision.
-    pub fn backend(&mut self, name: &str) -> BackendId {
+    pub fn backend_id(&mut self, name: &str) -> BackendId {
         let mut id = BackendId(fnv1a(name));
         while self.backends.get(&id).is_some_and(|known| known != name) {
             id = BackendId(id.0.wrapping_add(1));
@@ -48,7 +48,7 @@
     }
 
     /// The id of a zone; a new name gets the next one.
-    pub fn zone(&mut self, name: &str) -> ZoneId {
+    pub fn zone_id(&mut self, name: &str) -> ZoneId {
         zone_id(&mut self.zones, name)
     }
 }
@@ -74,7 +74,7 @@
     read_item: ReadItem<T>,
 ) -> Result<(HashMap<String, usize>, Vec<T>), FieldError> {
     let count_key = format!("{list}.count");
-    let count = fields.whole_or(&count_key, 0)?;
+    let count = fields.u64_or(&count_key, 0)?;
     if count > MAX_LISTED {
         return Err(fields.unexpected(&count_key, "at most 10000"));
     }
@@ -82,23 +82,23 @@
     let mut items = Vec::new();
     for index in 0..count as usize {
         let key = |name: &str| format!("{list}.{index}.{name}");
-        names.insert(fields.text(&key("name"))?.to_string(), index);
+        names.insert(fields.required_str(&key("name"))?.to_string(), index);
         items.push(read_item(fields, &key)?);
     }
     Ok((names, items))
 }
 
 fn read_class(fields: &Fields, key: &dyn Fn(&str) -> String) -> Result<RequestClass, FieldError> {
-    let deadline = Micros(fields.whole(&key("deadline"))?);
+    let deadline = Micros(fields.required_u64(&key("deadline"))?);
     Ok(RequestClass {
         latency_objective: fields.micros_or(&key("on_time"), deadline.0)?,
         deadline,
-        priority_weight: fields.real_or(&key("credit"), 1.0)?,
-        late_weight_share: fields.real_or(&key("late_share"), 0.0)?,
+        priority_weight: fields.f64_or(&key("credit"), 1.0)?,
+        late_weight_share: fields.f64_or(&key("late_share"), 0.0)?,
         idempotency: read_idempotency(fields, &key("effect"))?,
         deduplication_scope: read_deduplication_scope(fields, &key("key_scope"))?,
         deduplication_window: fields.micros_or(&key("window"), 0)?,
-        streaming: fields.flag_or(&key("streaming"), false)?,
+        streaming: fields.bool_or(&key("streaming"), false)?,
     })
 }
 
@@ -121,7 +121,7 @@
 }
 
 fn read_plan(fields: &Fields, key: &dyn Fn(&str) -> String) -> Result<QuotaPlan, FieldError> {
-    let real = |name: &str, default| fields.real_or(&key(name), default);
+    let real = |name: &str, default| fields.f64_or(&key(name), default);
     Ok(QuotaPlan {
         rate: real("per_second", 0.0)?,
         burst: real("peak_units", 0.0)?,
@@ -142,7 +142,7 @@
     plans: Vec<QuotaPlan>,
 ) -> Result<Settings, FieldError> {
     let small_or = |name: &str, default| -> Result<u32, FieldError> {
-        Ok(u32::try_from(fields.whole_or(name, default)?).unwrap_or(u32::MAX))
+        Ok(u32::try_from(fields.u64_or(name, default)?).unwrap_or(u32::MAX))
     };
     Ok(Settings {
         gateway_count: small_or("balancers", 1)?,
@@ -150,20 +150,20 @@
         zone,
         classes,
         plans,
-        max_attempts: fields.whole_or("bounds.max_attempts", 1)? as usize,
-        hedging: fields.flag_or("bounds.second_copies", false)?,
-        cancellation: fields.flag_or("bounds.may_cancel", false)?,
-        health_checks: fields.flag_or("bounds.probing", false)?,
-        retry_after: fields.flag_or("bounds.retry_after", false)?,
+        max_attempts: fields.u64_or("bounds.max_attempts", 1)? as usize,
+        hedging: fields.bool_or("bounds.second_copies", false)?,
+        cancellation: fields.bool_or("bounds.may_cancel", false)?,
+        health_checks: fields.bool_or("bounds.probing", false)?,
+        retry_after: fields.bool_or("bounds.retry_after", false)?,
         max_retry_after: fields.micros_or("bounds.max_retry_after", 0)?,
-        quota_counter: fields.flag_or("specifics.counter", false)?,
+        quota_counter: fields.bool_or("specifics.counter", false)?,
         counter_timeout: fields.micros_or("specifics.count_limit", 0)?,
-        max_request_units: fields.real_or("specifics.units_top", 1.0)?,
+        max_request_units: fields.f64_or("specifics.units_top", 1.0)?,
         endpoint_subscription: fields.pairs.get("membership_mode") == Some(&"subscribe"),
         answer_slack: fields.micros_or("rules.answer_slack", 0)?,
-        cold_capacity_share: fields.real_or("rules.cold_from", 1.0)?,
+        cold_capacity_share: fields.f64_or("rules.cold_from", 1.0)?,
         warm_up_time: fields.micros_or("rules.cold", 0)?,
-        overload_multiple: fields.real_or("rules.fall_multiple", 1.0)?,
+        overload_multiple: fields.f64_or("rules.fall_multiple", 1.0)?,
         overload_after: fields.micros_or("rules.tip_after", 0)?,
         tick: fields.micros_or("tick", 0)?,
     })
--- a/crates/simhost/src/decode.rs
+++ b/crates/simhost/src/decode.rs
@@ -12,22 +12,22 @@
 
 /// The event of a line; `None`: a message that this adapter does not know, which a later edition may send.
 pub(crate) fn read_event(fields: &Fields, site: &mut Site, now: Micros) -> Result<Option<Event>, FieldError> {
-    Ok(Some(match fields.message {
+    Ok(Some(match fields.message_type {
         "KNOCK" => Event::RequestArrived(read_arrival(fields, site, now)?),
-        "RING" => Event::TimerFired(TimerId(fields.whole("ref")?)),
+        "RING" => Event::TimerFired(TimerId(fields.required_u64("ref")?)),
         "FIRST_BYTE" => {
             Event::ResponseStarted { request: request_id(fields)?, attempt: attempt_index(fields)? }
         }
         "TIMED_OUT_CLIENT" => Event::ClientDisconnected(request_id(fields)?),
         "PONG" => Event::HealthChecked {
-            backend: site.backend(fields.text("backend")?),
+            backend: site.backend_id(fields.required_str("backend")?),
             outcome: read_outcome(fields)?,
             load_report: read_load_report(fields)?,
         },
         "COUNT_RESULT" => Event::CounterReplied {
-            key: CounterKey(fields.whole("book")?),
+            key: CounterKey(fields.required_u64("book")?),
             outcome: read_outcome(fields)?,
-            total: fields.real_or("result_value", 0.0)?,
+            total: fields.f64_or("result_value", 0.0)?,
         },
         "OUTCOME" => Event::AttemptEnded(read_attempt_result(fields, site)?),
         _ => return Ok(None),
@@ -35,19 +35,19 @@
 }
 
 fn request_id(fields: &Fields) -> Result<RequestId, FieldError> {
-    Ok(RequestId(fields.whole("ref")?))
+    Ok(RequestId(fields.required_u64("ref")?))
 }
 
 fn attempt_index(fields: &Fields) -> Result<usize, FieldError> {
-    Ok(fields.whole_or("trial", 0)? as usize)
+    Ok(fields.u64_or("trial", 0)? as usize)
 }
 
 fn read_arrival(fields: &Fields, site: &Site, now: Micros) -> Result<Arrival, FieldError> {
     let class = index_of(fields, "kind", "a known class", &site.classes)?;
     let plan = index_of(fields, "plan", "a known plan", &site.plans)?;
-    let customer = u64::from_str_radix(fields.text("user_key")?, 16)
+    let customer = u64::from_str_radix(fields.required_str("user_key")?, 16)
         .map_err(|_| fields.unexpected("user_key", "16 hex digits"))?;
-    let units = fields.real_or("price_units", 1.0)?;
+    let units = fields.f64_or("price_units", 1.0)?;
     if units < 0.0 {
         return Err(fields.unexpected("price_units", "a number of 0 or more"));
     }
@@ -57,11 +57,11 @@
         class: ClassId(class),
         plan: PlanId(plan),
         customer: CustomerId(customer),
-        gateway_spread: fields.real_or("doors", 1.0)?.clamp(1.0, MAX_GATEWAY_SPREAD) as u32,
+        gateway_spread: fields.f64_or("doors", 1.0)?.clamp(1.0, MAX_GATEWAY_SPREAD) as u32,
         active_gateways: 0,
         deadline: fields.optional("drop_dead", "a clock time")?.map_or(class_deadline, Micros),
         units,
-        is_client_retry: fields.flag_or("resent", false)?,
+        is_client_retry: fields.bool_or("resent", false)?,
     })
 }
 
@@ -71,24 +71,24 @@
     expected: &str,
     known: &HashMap<String, usize>,
 ) -> Result<usize, FieldError> {
-    known.get(fields.text(name)?).copied().ok_or_else(|| fields.unexpected(name, expected))
+    known.get(fields.required_str(name)?).copied().ok_or_else(|| fields.unexpected(name, expected))
 }
 
 fn read_attempt_result(fields: &Fields, site: &mut Site) -> Result<AttemptResult, FieldError> {
     Ok(AttemptResult {
         request: request_id(fields)?,
         attempt: attempt_index(fields)?,
-        backend: site.backend(fields.text("backend")?),
+        backend: site.backend_id(fields.required_str("backend")?),
         outcome: read_outcome(fields)?,
         elapsed: fields.micros_or("took", 0)?,
-        request_answered: fields.flag_or("ended", false)?,
-        settled_units: Some(fields.real_or("settled", 0.0)?).filter(|units| *units > 0.0),
+        request_answered: fields.bool_or("ended", false)?,
+        settled_units: Some(fields.f64_or("settled", 0.0)?).filter(|units| *units > 0.0),
         load_report: read_load_report(fields)?,
     })
 }
 
 fn read_outcome(fields: &Fields) -> Result<Outcome, FieldError> {
-    Ok(match fields.text("how")? {
+    Ok(match fields.required_str("how")? {
         "200" => Outcome::Success,
         "500" => Outcome::ServerError,
         "503" => Outcome::Rejected,
@@ -124,7 +124,7 @@
 
 /// The scope of an endpoint list.
 pub(crate) fn read_scope(fields: &Fields) -> Result<EndpointListScope, FieldError> {
-    match fields.text("scope")? {
+    match fields.required_str("scope")? {
         "incr" => Ok(EndpointListScope::Changes),
         "total" | "warm_copy" => Ok(EndpointListScope::Complete),
         "lost" => Ok(EndpointListScope::Unavailable),
@@ -135,16 +135,16 @@
 /// One entry of an endpoint list.
 pub(crate) fn read_endpoint(fields: &Fields, site: &mut Site) -> Result<Endpoint, FieldError> {
     Ok(Endpoint {
-        backend: site.backend(fields.text("backend")?),
-        zone: site.zone(fields.pairs.get("rack_zone").copied().unwrap_or("")),
-        cell: CellId(fields.whole_or("pod", 0)?),
-        state: match fields.text("status")? {
+        backend: site.backend_id(fields.required_str("backend")?),
+        zone: site.zone_id(fields.pairs.get("rack_zone").copied().unwrap_or("")),
+        cell: CellId(fields.u64_or("pod", 0)?),
+        state: match fields.required_str("status")? {
             "in_service" => EndpointState::InService,
             "terminating" => EndpointState::Draining,
             "terminated" => EndpointState::Removed,
             _ => return Err(fields.unexpected("status", "in_service, terminating or terminated")),
         },
-        weight: fields.real_or("heft", 1.0)?,
+        weight: fields.f64_or("heft", 1.0)?,
         started_at: Some(fields.micros_or("last_start", 0)?).filter(|started_at| started_at.0 > 0),
     })
 }
--- a/crates/simhost/src/host.rs
+++ b/crates/simhost/src/host.rs
@@ -38,15 +38,15 @@
         }
         let fields = Fields::parse(self.line_number, text)?;
         let place = || fields.place.clone();
-        if fields.message != "TICK" && !self.in_batch {
+        if fields.message_type != "TICK" && !self.in_batch {
             return Err(WireError::OutsideBatch { place: place() });
         }
-        if self.open_list.is_some() && fields.message != "ITEM" {
+        if self.open_list.is_some() && fields.message_type != "ITEM" {
             return Err(WireError::IncompleteList { place: place() });
         }
-        match fields.message {
+        match fields.message_type {
             "TICK" => self.begin_batch(&fields)?,
-            "FOR" => self.selected = Some(fields.small("who")?),
+            "FOR" => self.selected = Some(fields.required_u32("who")?),
             "START" => self.start_instance(&fields)?,
             "DOWN" => self.stop_instance(&fields)?,
             "FLUSH" => return Ok(Some(self.end_batch())),
@@ -66,7 +66,7 @@
     }
 
     fn begin_batch(&mut self, fields: &Fields) -> Result<(), WireError> {
-        let now = Micros(fields.whole("now")?);
+        let now = Micros(fields.required_u64("now")?);
         if self.in_batch || now < self.now {
             let expected = "a batch's end first, and a clock that moves forward";
             return Err(fields.unexpected("now", expected).into());
@@ -105,7 +105,7 @@
 
     fn begin_list(&mut self, fields: &Fields) -> Result<(), WireError> {
         let scope = read_scope(fields)?;
-        let missing = fields.whole_or("items", 0)?;
+        let missing = fields.u64_or("items", 0)?;
         self.selected(fields)?;
         self.open_list = Some(OpenList { scope, endpoints: Vec::new(), missing });
         self.close_complete_list();
--- a/crates/simhost/src/instance.rs
+++ b/crates/simhost/src/instance.rs
@@ -16,7 +16,7 @@
 impl Instance {
     /// Starts a gateway with the settings of a line.
     pub(crate) fn start(fields: &Fields) -> Result<Instance, WireError> {
-        let seed = fields.whole("rng_seed")?;
+        let seed = fields.required_u64("rng_seed")?;
         let site = Site::read(fields)?;
         let engine = Engine::new(seed, site.settings.clone())
             .map_err(|reason| WireError::Settings { place: fields.place.clone(), reason })?;
--- a/crates/simhost/tests/sites.rs
+++ b/crates/simhost/tests/sites.rs
@@ -28,7 +28,7 @@
     let mut names = BTreeMap::new();
     flatten("", &serde_json::from_str(&text).expect("JSON"), &mut names);
     let pairs = names.iter().map(|(name, value)| (name.as_str(), value.as_str())).collect();
-    let site = Site::read(&Fields { place: "settings".into(), message: "settings", pairs });
+    let site = Site::read(&Fields { place: "settings".into(), message_type: "settings", pairs });
     site.expect("sound settings").settings
 }
 
