--- a/crates/gateway/src/admin.rs
+++ b/crates/gateway/src/admin.rs
@@ -5,7 +5,7 @@
 use crate::config::document::AdminSection;
 use crate::driver::{AdminQuery, AdminReport, DriverEvent, DriverSender};
 use crate::fleet::Fleet;
-use crate::replication::serve::Answer;
+use crate::replication::serve::HttpResponse;
 use crate::replication::{self, ReplicationService};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
@@ -270,7 +270,8 @@
 
 /// The answer to a proposal, with the status that says what became of it.
 fn decided(reply: &replication::Reply) -> Result<Reply, AdminError> {
-    let Answer { status, body } = Answer::from_reply(reply).map_err(AdminError::Unserializable)?;
+    let HttpResponse { status, body } =
+        HttpResponse::from_reply(reply).map_err(AdminError::Unserializable)?;
     Ok(Reply { status, content_type: JSON, body })
 }
 
--- a/crates/gateway/src/replication/serve.rs
+++ b/crates/gateway/src/replication/serve.rs
@@ -60,22 +60,22 @@
 }
 
 /// The status and body of an answer.
-pub struct Answer {
+pub struct HttpResponse {
     /// The status.
     pub status: StatusCode,
     /// The body.
     pub body: Bytes,
 }
 
-impl Answer {
-    fn json(status: StatusCode, value: &impl Serialize) -> Result<Answer, serde_json::Error> {
+impl HttpResponse {
+    fn json(status: StatusCode, value: &impl Serialize) -> Result<HttpResponse, serde_json::Error> {
         let mut body = serde_json::to_vec(value)?;
         body.push(b'\n');
-        Ok(Answer { status, body: body.into() })
+        Ok(HttpResponse { status, body: body.into() })
     }
 
     /// A reply with a status by which a caller sees whether it was decided here, or where to ask instead.
-    pub fn from_reply(reply: &Reply) -> Result<Answer, serde_json::Error> {
+    pub fn from_reply(reply: &Reply) -> Result<HttpResponse, serde_json::Error> {
         let status = match reply {
             Reply::Decided(_) | Reply::Renewed(_) => StatusCode::OK,
             Reply::NotLeader(_) => StatusCode::MISDIRECTED_REQUEST,
@@ -83,7 +83,7 @@
             Reply::Undecided(_) => StatusCode::GATEWAY_TIMEOUT,
             Reply::Invalid(_) => StatusCode::BAD_REQUEST,
         };
-        Answer::json(status, reply)
+        HttpResponse::json(status, reply)
     }
 }
 
@@ -135,7 +135,7 @@
         Ok((head, body)) => handle_call(service, &head, &body).await,
         Err(error) => Err(error),
     };
-    let Answer { status, body } = answer.unwrap_or_else(|error| Answer {
+    let HttpResponse { status, body } = answer.unwrap_or_else(|error| HttpResponse {
         status: StatusCode::BAD_REQUEST,
         body: Bytes::from(error.to_string()),
     });
@@ -154,28 +154,32 @@
     Ok((head, body.map_err(CallError::Body)?.to_bytes()))
 }
 
-async fn handle_call(service: &ReplicationService, head: &Parts, body: &[u8]) -> Result<Answer, CallError> {
+async fn handle_call(
+    service: &ReplicationService,
+    head: &Parts,
+    body: &[u8],
+) -> Result<HttpResponse, CallError> {
     match (&head.method, head.uri.path()) {
         (&Method::POST, RAFT_MESSAGES_PATH) => {
             let messages: Vec<RaftMessage> = postcard::from_bytes(body)?;
             service.receive(&messages);
-            Ok(Answer { status: StatusCode::NO_CONTENT, body: Bytes::new() })
+            Ok(HttpResponse { status: StatusCode::NO_CONTENT, body: Bytes::new() })
         }
-        (&Method::GET, HANDSHAKE_PATH) => Ok(Answer::json(StatusCode::OK, &service.handshake())?),
+        (&Method::GET, HANDSHAKE_PATH) => Ok(HttpResponse::json(StatusCode::OK, &service.handshake())?),
         (&Method::GET, CATCH_UP_PATH) => {
             let after = follower_index(head.uri.query()).ok_or(CallError::MissingIndex)?;
             let body = postcard::to_allocvec(&service.catch_up_after(after))?;
-            Ok(Answer { status: StatusCode::OK, body: body.into() })
+            Ok(HttpResponse { status: StatusCode::OK, body: body.into() })
         }
         (&Method::POST, PROPOSE_PATH) => {
             let proposal: Proposal = serde_json::from_slice(body)?;
-            Ok(Answer::from_reply(&service.propose(proposal).await)?)
+            Ok(HttpResponse::from_reply(&service.propose(proposal).await)?)
         }
         (&Method::POST, RENEW_PATH) => {
             let request: RenewalRequest = serde_json::from_slice(body)?;
-            Ok(Answer::from_reply(&service.renew(request).await)?)
+            Ok(HttpResponse::from_reply(&service.renew(request).await)?)
         }
-        _ => Ok(Answer { status: StatusCode::NOT_FOUND, body: Bytes::from_static(b"no such path\n") }),
+        _ => Ok(HttpResponse { status: StatusCode::NOT_FOUND, body: Bytes::from_static(b"no such path\n") }),
     }
 }
 
