--- a/crates/lab/src/experiment.rs
+++ b/crates/lab/src/experiment.rs
@@ -149,7 +149,7 @@
     /// When, in seconds since the load began.
     pub at: f64,
     /// The action.
-    pub act: Act,
+    pub act: Action,
 }
 
 /// Parties: names such as `g0` and `b1`, `counter`, `discovery`, or all of `zone:a`, `region:north`, `gateways`,
@@ -159,7 +159,7 @@
 /// An action on a fleet. Unknown names are an error.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
-pub enum Act {
+pub enum Action {
     /// SIGKILL, or for stand-ins an end without a drain.
     Kill(Parties),
     /// SIGTERM to gateways.
@@ -217,26 +217,26 @@
     },
 }
 
-impl Act {
+impl Action {
     /// The parties that it names.
     pub fn parties(&mut self) -> Vec<&mut Parties> {
         match self {
-            Act::Kill(parties)
-            | Act::Terminate(parties)
-            | Act::Start(parties)
-            | Act::Roll(parties)
-            | Act::Stop(parties)
-            | Act::Resume(parties)
-            | Act::Reload(parties)
-            | Act::Drain(parties)
-            | Act::Undrain(parties)
-            | Act::Fail(parties)
-            | Act::Freeze(parties)
-            | Act::Cure(parties)
-            | Act::Slow { who: parties, .. } => vec![parties],
-            Act::Link { from, to, .. } => vec![from, to],
-            Act::Partition(groups) => groups.iter_mut().collect(),
-            Act::Forget | Act::Heal | Act::Propose { .. } => Vec::new(),
+            Action::Kill(parties)
+            | Action::Terminate(parties)
+            | Action::Start(parties)
+            | Action::Roll(parties)
+            | Action::Stop(parties)
+            | Action::Resume(parties)
+            | Action::Reload(parties)
+            | Action::Drain(parties)
+            | Action::Undrain(parties)
+            | Action::Fail(parties)
+            | Action::Freeze(parties)
+            | Action::Cure(parties)
+            | Action::Slow { who: parties, .. } => vec![parties],
+            Action::Link { from, to, .. } => vec![from, to],
+            Action::Partition(groups) => groups.iter_mut().collect(),
+            Action::Forget | Action::Heal | Action::Propose { .. } => Vec::new(),
         }
     }
 }
@@ -274,7 +274,7 @@
 
 impl Experiment {
     /// Reads a file's text, and validates it.
-    pub fn read(text: &str) -> Result<Experiment, ExperimentError> {
+    pub fn parse(text: &str) -> Result<Experiment, ExperimentError> {
         let experiment: Experiment = toml::from_str(text)?;
         experiment.validate()?;
         Ok(experiment)
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -5,7 +5,7 @@
 use lanespan_lab::experiment::{Experiment, ExperimentError};
 use lanespan_lab::measure::{self, MeasureError};
 use lanespan_lab::report::Report;
-use lanespan_lab::rig::{play, Rig, RigError};
+use lanespan_lab::rig::{block_on, Rig, RigError};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use tokio::signal::unix::{signal, SignalKind};
@@ -150,7 +150,7 @@
         println!("{}", measure::REAL);
         for count in members {
             let out = temporary().join(count.to_string());
-            println!("{}", play(measure::real(*count, &program, &out))?);
+            println!("{}", block_on(measure::real(*count, &program, &out))?);
         }
         return Ok(());
     }
@@ -166,7 +166,7 @@
         println!("{}", measure::PLAN_REAL);
         for count in members {
             let out = temporary().join(count.to_string());
-            println!("{}", play(measure::plan_real(*count, &program, &out))?);
+            println!("{}", block_on(measure::plan_real(*count, &program, &out))?);
         }
         return Ok(());
     }
@@ -187,7 +187,7 @@
 fn ceiling(program: Option<PathBuf>, seed: u64) -> Result<(), LabError> {
     let program = gateway(program)?;
     println!("{}", measure::CEILING);
-    play(measure::ceiling(&program, &temporary(), seed))?.iter().for_each(|row| println!("{row}"));
+    block_on(measure::ceiling(&program, &temporary(), seed))?.iter().for_each(|row| println!("{row}"));
     Ok(())
 }
 
@@ -211,7 +211,7 @@
 fn stand_in(config: &Path) -> Result<(), LabError> {
     let text = std::fs::read_to_string(config)?;
     let config = serde_json::from_str(&text)?;
-    Ok(play(lanespan_lab::defective_gateway::run(&config))?)
+    Ok(block_on(lanespan_lab::defective_gateway::run(&config))?)
 }
 
 fn fleet(
@@ -221,12 +221,12 @@
     out: Option<PathBuf>,
 ) -> Result<Report, LabError> {
     let text = std::fs::read_to_string(file).map_err(|source| file_error(file, source))?;
-    let mut experiment = Experiment::read(&text)
+    let mut experiment = Experiment::parse(&text)
         .map_err(|source| LabError::Experiment { path: file.to_path_buf(), source })?;
     experiment.seed = seed.unwrap_or(experiment.seed);
     let program = gateway(program)?;
     let out = out.unwrap_or_else(temporary);
-    play(async {
+    block_on(async {
         let starting = Rig::start(&experiment, &program, &out);
         let rig = tokio::select! {
             rig = starting => rig?,
--- a/crates/lab/src/measure.rs
+++ b/crates/lab/src/measure.rs
@@ -1,7 +1,7 @@
 //! What membership costs and how soon it detects a failure, over virtual networks of many sizes and over real processes.
 
 use crate::checks::same_document;
-use crate::experiment::{Act, Experiment, ExperimentError};
+use crate::experiment::{Action, Experiment, ExperimentError};
 use crate::gateway::{Gateway, GatewayError};
 use crate::http::response;
 use crate::load::{schedule, Fate, Generator, Ledger};
@@ -122,7 +122,7 @@
         "shows = \"a measurement\"\nseconds = 1.0\nregions = {{ north = [\"a\", \"b\"], south = [\"c\"] }}\n\
          gateways = {{ count = {gateways}, probe_ms = 1000 }}\nbackends = {{ count = 1 }}\n"
     );
-    let rig = Rig::start(&Experiment::read(&text)?, program, directory).await?;
+    let rig = Rig::start(&Experiment::parse(&text)?, program, directory).await?;
     let figures = || async {
         let mut figures = (0.0, 0.0);
         for gateway in &rig.gateways {
@@ -139,7 +139,7 @@
     rig.gateways.iter().for_each(|gateway| gateway.sample());
     let memory = rig.gateways.iter().map(|gateway| gateway.peak_usage.get().memory_bytes).max().unwrap_or(0);
     let killed = Instant::now();
-    rig.act(&Act::Kill(vec!["g0".to_string()])).await?;
+    rig.apply(&Action::Kill(vec!["g0".to_string()])).await?;
     let knowing =
         || rig.gateways[1..].iter().filter(|g| g.lines_with("fleet member dead name=\"g0\"") > 0).count();
     rig.wait_until("the first to know", CONDITION_TIMEOUT, || knowing() > 0).await?;
@@ -218,7 +218,7 @@
          backends = {{ count = 1 }}\n[gateways]\ncount = {gateways}\nprobe_ms = 1000\n\
          plan = {{ voters = 3, tick_ms = 100, lease_ms = 5000, trust_s = 30, ramp_s = 30 }}\n"
     );
-    let rig = Rig::start(&Experiment::read(&text)?, program, directory).await?;
+    let rig = Rig::start(&Experiment::parse(&text)?, program, directory).await?;
     let here = |gateway: &Gateway, part: &str| gateway.lines_with(part) > 0;
     let begun = |answers: &BTreeMap<String, Value>| {
         same_document(answers) && answers.values().all(|plan| plan["index"].as_u64() >= Some(2))
@@ -228,7 +228,7 @@
     for count in 0..PROPOSALS {
         let from = Instant::now();
         let (section, key, value) = ("work".to_string(), "x".to_string(), count.to_string());
-        rig.act(&Act::Propose { section, key, value }).await?;
+        rig.apply(&Action::Propose { section, key, value }).await?;
         rig.wait_until("agreed", CONDITION_TIMEOUT, || rig.proposals.borrow().len() > count).await?;
         agreed.push(from.elapsed().as_secs_f64() * 1e3);
         let line = format!("plan: changed index={} ", rig.proposals.borrow()[count].0);
@@ -259,9 +259,9 @@
 /// Ends the holder of the `work` lease by SIGTERM, SIGKILL and SIGSTOP in turn; the seconds until another holds it.
 async fn lease_handovers(rig: &Rig) -> Result<Vec<f64>, MeasureError> {
     let ends = [
-        (Act::Terminate as fn(_) -> _, Act::Start as fn(_) -> _),
-        (Act::Kill, Act::Start),
-        (Act::Stop, Act::Resume),
+        (Action::Terminate as fn(_) -> _, Action::Start as fn(_) -> _),
+        (Action::Kill, Action::Start),
+        (Action::Stop, Action::Resume),
     ];
     let grants = |gateway: &Gateway| gateway.lines_with("plan: duty taken duty=\"work\"");
     let grants = || rig.gateways.iter().map(|gateway| grants(gateway)).sum::<usize>();
@@ -271,10 +271,10 @@
         let holder = leases.into_iter().find(|(_, leases)| leases["duties"][1]["held_here"] == true);
         let (holder, _) = holder.ok_or(MeasureError::NoLeaseHolder)?;
         let (before, ended_at) = (grants(), Instant::now());
-        rig.act(&end(vec![holder.clone()])).await?;
+        rig.apply(&end(vec![holder.clone()])).await?;
         rig.wait_until("another holder", CONDITION_TIMEOUT, || grants() > before).await?;
         seconds.push(ended_at.elapsed().as_secs_f64());
-        rig.act(&resume(vec![holder])).await?;
+        rig.apply(&resume(vec![holder])).await?;
         let running = rig.running().count();
         let same = |answers: &BTreeMap<String, Value>| answers.len() == running && same_document(answers);
         rig.wait_for_answers("one plan", "/fleet/plan", CONDITION_TIMEOUT, same).await?;
@@ -296,7 +296,7 @@
              gateways = {{ count = 3, fleet = false }}\nbackends = {{ count = 6, slots = 64, mean_ms = 2 }}\n\
              load = {{ customers = 1000, quota = [1000.0, 1000.0] }}\n"
         );
-        let mut experiment = Experiment::read(&text)?;
+        let mut experiment = Experiment::parse(&text)?;
         // Beyond what a file may ask for.
         experiment.load.rate = f64::from(rate);
         let rig = Rig::start(&experiment, program, &directory.join(rate.to_string())).await?;
--- a/crates/lab/src/rig.rs
+++ b/crates/lab/src/rig.rs
@@ -42,7 +42,7 @@
 const PROPOSAL_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Runs a future that plays with a fleet to its end, and ends all tasks that it started.
-pub fn play<T>(work: impl Future<Output = T>) -> T {
+pub fn block_on<T>(work: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     LocalSet::new().block_on(&runtime, work)
 }
@@ -108,7 +108,7 @@
         let start = Instant::now();
         for step in &self.experiment.timeline {
             sleep_until(start + Duration::from_secs_f64(step.at)).await;
-            self.act(&step.act).await?;
+            self.apply(&step.act).await?;
         }
         Ok(())
     }
--- a/crates/lab/src/rig/faults.rs
+++ b/crates/lab/src/rig/faults.rs
@@ -2,7 +2,7 @@
 
 use super::proposals::propose;
 use super::{Rig, RigError, SHUTDOWN_TIMEOUT};
-use crate::experiment::{Act, Parties};
+use crate::experiment::{Action, Parties};
 use crate::gateway::ProcessState;
 use crate::links::Fault;
 use crate::stand_in::backend::BackendFault;
@@ -12,34 +12,36 @@
 
 impl Rig {
     /// Does one action to the fleet.
-    pub async fn act(&self, act: &Act) -> Result<(), RigError> {
+    pub async fn apply(&self, act: &Action) -> Result<(), RigError> {
         let act = &self.resolve(act).await?;
         self.actions.borrow_mut().push((self.elapsed(), format!("{act:?}")));
         match act {
-            Act::Kill(parties) => self.kill(parties).await?,
-            Act::Terminate(parties) => self.terminate(parties)?,
-            Act::Start(parties) => self.start_again(parties).await?,
-            Act::Roll(parties) => self.roll(parties).await?,
-            Act::Stop(parties) => self.gateways_of(parties)?.iter().try_for_each(|gateway| gateway.stop())?,
-            Act::Resume(parties) => {
+            Action::Kill(parties) => self.kill(parties).await?,
+            Action::Terminate(parties) => self.terminate(parties)?,
+            Action::Start(parties) => self.start_again(parties).await?,
+            Action::Roll(parties) => self.roll(parties).await?,
+            Action::Stop(parties) => {
+                self.gateways_of(parties)?.iter().try_for_each(|gateway| gateway.stop())?
+            }
+            Action::Resume(parties) => {
                 self.gateways_of(parties)?.iter().try_for_each(|gateway| gateway.resume())?
             }
-            Act::Reload(parties) => {
+            Action::Reload(parties) => {
                 self.gateways_of(parties)?.iter().try_for_each(|gateway| gateway.reload())?
             }
-            Act::Drain(parties) => self.set_phase(parties, "draining")?,
-            Act::Undrain(parties) => self.set_phase(parties, "ready")?,
-            Act::Slow { who, times } => self.set_backend_fault(who, BackendFault::Slow(*times))?,
-            Act::Fail(parties) => self.set_backend_fault(parties, BackendFault::Failing)?,
-            Act::Freeze(parties) => self.set_backend_fault(parties, BackendFault::Frozen)?,
-            Act::Cure(parties) => self.set_backend_fault(parties, BackendFault::None)?,
-            Act::Forget => self.counter.forget(),
-            Act::Link { from, to, fault } => {
+            Action::Drain(parties) => self.set_phase(parties, "draining")?,
+            Action::Undrain(parties) => self.set_phase(parties, "ready")?,
+            Action::Slow { who, times } => self.set_backend_fault(who, BackendFault::Slow(*times))?,
+            Action::Fail(parties) => self.set_backend_fault(parties, BackendFault::Failing)?,
+            Action::Freeze(parties) => self.set_backend_fault(parties, BackendFault::Frozen)?,
+            Action::Cure(parties) => self.set_backend_fault(parties, BackendFault::None)?,
+            Action::Forget => self.counter.forget(),
+            Action::Link { from, to, fault } => {
                 self.links.set(&self.party_names(from)?, &self.party_names(to)?, *fault)
             }
-            Act::Partition(groups) => self.partition(groups)?,
-            Act::Heal => self.links.heal(),
-            Act::Propose { section, key, value } => self.start_proposal(section, key, value),
+            Action::Partition(groups) => self.partition(groups)?,
+            Action::Heal => self.links.heal(),
+            Action::Propose { section, key, value } => self.start_proposal(section, key, value),
         }
         Ok(())
     }
--- a/crates/lab/src/rig/parties.rs
+++ b/crates/lab/src/rig/parties.rs
@@ -1,7 +1,7 @@
 //! The gateways, backends and stand-ins that the names in an experiment file mean.
 
 use super::{Rig, RigError};
-use crate::experiment::{Act, Parties};
+use crate::experiment::{Action, Parties};
 use crate::gateway::Gateway;
 use crate::stand_in::backend::Backend;
 use std::collections::BTreeSet;
@@ -51,7 +51,7 @@
 
     /// The same with `leader` for the gateway that leads now, `zone:leader` for its zone, and `rest` for all gateways and
     /// backends that no other group of a partition names.
-    pub(super) async fn resolve(&self, act: &Act) -> Result<Act, RigError> {
+    pub(super) async fn resolve(&self, act: &Action) -> Result<Action, RigError> {
         let mut act = act.clone();
         let mut parties = act.parties();
         if parties.iter().any(|parties| parties.iter().any(|party| party.contains("leader"))) {
--- a/crates/lab/tests/catches.rs
+++ b/crates/lab/tests/catches.rs
@@ -1,9 +1,9 @@
 //! The rig must be able to fail: gateways that are broken on purpose are caught by the check meant for them, and by no
 //! other.
 
-use lanespan_lab::experiment::{Act, Experiment};
+use lanespan_lab::experiment::{Action, Experiment};
 use lanespan_lab::load::schedule;
-use lanespan_lab::rig::{play, Rig};
+use lanespan_lab::rig::{block_on, Rig};
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
 use serde_json::json;
@@ -43,8 +43,8 @@
 
 /// The same of one run; `None` if it is invalid.
 fn failing_if_valid(defect: &str, text: &str) -> Option<BTreeSet<&'static str>> {
-    let experiment = Experiment::read(text).expect("an experiment");
-    play(async {
+    let experiment = Experiment::parse(text).expect("an experiment");
+    block_on(async {
         let program = Path::new(env!("CARGO_BIN_EXE_lanespan-lab"));
         let directory = directory(defect);
         let rig = Rig::start_with(&experiment, program, &directory, |config| {
@@ -102,7 +102,7 @@
 
 #[test]
 fn one_seed_gives_one_load_and_another_seed_another() {
-    let load = Experiment::read(LIGHT).expect("an experiment").load;
+    let load = Experiment::parse(LIGHT).expect("an experiment").load;
     let span = Duration::from_secs(20);
     assert_eq!(schedule(&load, span, 5), schedule(&load, span, 5));
     assert_ne!(schedule(&load, span, 5), schedule(&load, span, 6));
@@ -121,21 +121,21 @@
         ("checks", "timeline = [{ at = 1.0, act = { hack = [] } }]\nchecks", "hack"),
     ] {
         let wrong = LIGHT.replacen(from, to, 1);
-        let problem = Experiment::read(&wrong).expect_err(to).to_string();
+        let problem = Experiment::parse(&wrong).expect_err(to).to_string();
         assert!(problem.contains(told), "{to}: {problem}");
     }
 }
 
 #[test]
 fn a_fleet_that_is_dropped_in_the_middle_leaves_no_process() {
-    let experiment = Experiment::read(LIGHT).expect("an experiment");
+    let experiment = Experiment::parse(LIGHT).expect("an experiment");
     let pids = std::cell::RefCell::new(Vec::new());
     let playing = std::panic::AssertUnwindSafe(|| {
-        play(async {
+        block_on(async {
             let program = Path::new(env!("CARGO_BIN_EXE_lanespan-lab"));
             let rig = Rig::start(&experiment, program, &directory("dropped")).await.expect("it starts");
             pids.borrow_mut().extend(rig.gateways.iter().filter_map(|gateway| gateway.pid()));
-            rig.act(&Act::Stop(vec!["g1".into()])).await.expect("it stands still");
+            rig.apply(&Action::Stop(vec!["g1".into()])).await.expect("it stands still");
             panic!("a test that fails here");
         })
     });
--- a/crates/lanespan/tests/fleet.rs
+++ b/crates/lanespan/tests/fleet.rs
@@ -1,8 +1,8 @@
 //! Fleets of real gateways with faults between them, on the rig of `lanespan-lab`.
 
 use lanespan_lab::checks::{alive_members, member_state};
-use lanespan_lab::experiment::{Act, Experiment};
-use lanespan_lab::rig::{play, Rig};
+use lanespan_lab::experiment::{Action, Experiment};
+use lanespan_lab::rig::{block_on, Rig};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::future::Future;
@@ -26,7 +26,7 @@
         load = {{ rate = 40.0, customers = 20, spread = 3 }}
         "#
     );
-    Experiment::read(&text).expect("an experiment")
+    Experiment::parse(&text).expect("an experiment")
 }
 
 fn directory() -> PathBuf {
@@ -37,15 +37,15 @@
 
 /// Plays with a fleet; its processes end with the test, however that ends.
 fn with<T: Future<Output = ()>>(experiment: Experiment, test: impl FnOnce(std::rc::Rc<Rig>) -> T) {
-    play(async {
+    block_on(async {
         let program = Path::new(env!("CARGO_BIN_EXE_lanespan"));
         let rig = Rig::start(&experiment, program, &directory()).await.expect("a fleet");
         test(std::rc::Rc::new(rig)).await;
     });
 }
 
-async fn act(rig: &Rig, act: Act) {
-    rig.act(&act).await.expect("it can be done");
+async fn act(rig: &Rig, act: Action) {
+    rig.apply(&act).await.expect("it can be done");
 }
 
 fn names(names: &[&str]) -> Vec<String> {
@@ -64,8 +64,8 @@
 #[test]
 fn a_kill_is_lost_a_stop_signal_has_left_and_the_command_tells_both() {
     with(fleet(6), |rig| async move {
-        act(&rig, Act::Kill(names(&["g4"]))).await;
-        act(&rig, Act::Terminate(names(&["g5"]))).await;
+        act(&rig, Action::Kill(names(&["g4"]))).await;
+        act(&rig, Action::Terminate(names(&["g5"]))).await;
         all_hold(&rig, &["g4"], "lost").await;
         all_hold(&rig, &["g5"], "left").await;
         let ask = |words: &[&str]| {
@@ -113,10 +113,10 @@
         let before = files(&rig.views().await);
         // One gateway has its discovery cut off, another's file changes.
         let cut = lanespan_lab::links::Fault { cut: true, ..Default::default() };
-        act(&rig, Act::Link { from: names(&["discovery"]), to: names(&["g2"]), fault: cut }).await;
-        act(&rig, Act::Drain(names(&["b0"]))).await;
+        act(&rig, Action::Link { from: names(&["discovery"]), to: names(&["g2"]), fault: cut }).await;
+        act(&rig, Action::Drain(names(&["b0"]))).await;
         rig.gateway(1).config.borrow_mut()["pool"] = json!({ "waiting": 77 });
-        act(&rig, Act::Reload(names(&["g1"]))).await;
+        act(&rig, Action::Reload(names(&["g1"]))).await;
         let so = |views: &BTreeMap<String, Value>| {
             let lists = |view: &Value| ["g0", "g1", "g2"].map(|name| told(view, name, "list"));
             let wanted = ["2", "2", "1"].map(|list| Some(list.to_string()));
@@ -132,11 +132,11 @@
 fn seven_in_ten_killed_at_once_come_back_and_all_are_rolled_without_a_lost_answer() {
     with(fleet(10), |rig| async move {
         let most: Vec<String> = (3..10).map(|place| format!("g{place}")).collect();
-        act(&rig, Act::Kill(most.clone())).await;
+        act(&rig, Action::Kill(most.clone())).await;
         rig.wait_for_agreement(PATIENCE).await.expect("three know of each other");
-        act(&rig, Act::Start(most)).await;
+        act(&rig, Action::Start(most)).await;
         rig.wait_for_agreement(PATIENCE).await.expect("ten again");
-        let (played, ()) = tokio::join!(rig.run(), act(&rig, Act::Roll(names(&["g0", "g1", "g2"]))));
+        let (played, ()) = tokio::join!(rig.run(), act(&rig, Action::Roll(names(&["g0", "g1", "g2"]))));
         played.expect("it plays");
         let broken = rig.check().await;
         assert!(broken.is_empty(), "{broken:?}");
@@ -151,12 +151,12 @@
             rows.iter().find(|row| row["name"] == "g3").and_then(|row| row["incarnation"].as_u64())
         };
         let before = life(&rig.views().await);
-        act(&rig, Act::Stop(names(&["g3"]))).await;
+        act(&rig, Action::Stop(names(&["g3"]))).await;
         let lost = |views: &BTreeMap<String, Value>| {
             views.len() == 5 && views.values().all(|view| member_state(view, "g3") == Some("lost"))
         };
         rig.wait_for_views("g3 lost", PATIENCE, lost).await.expect("they know");
-        act(&rig, Act::Resume(names(&["g3"]))).await;
+        act(&rig, Action::Resume(names(&["g3"]))).await;
         rig.gateway(3).wait_for_line("taken for dead", PATIENCE).await.expect("it is told");
         rig.wait_for_agreement(PATIENCE).await.expect("six again");
         assert!(life(&rig.views().await) > before);
@@ -171,22 +171,22 @@
             vec![vec!["zone:a", "zone:b"], vec!["zone:c"]],
             vec![vec!["zone:a"], vec!["zone:b"], vec!["zone:c"]],
         ] {
-            act(&rig, Act::Partition(groups.iter().map(|group| names(group)).collect())).await;
+            act(&rig, Action::Partition(groups.iter().map(|group| names(group)).collect())).await;
             let apart = |views: &BTreeMap<String, Value>| {
                 let parts = groups.len();
                 views.len() == 9
                     && views.values().all(|view| alive_members(view).len() <= if parts == 2 { 6 } else { 3 })
             };
             rig.wait_for_views("parts", PATIENCE, apart).await.expect("each part by itself");
-            act(&rig, Act::Heal).await;
+            act(&rig, Action::Heal).await;
             rig.wait_for_agreement(PATIENCE).await.expect("one view");
         }
         let cut = lanespan_lab::links::Fault { cut: true, ..Default::default() };
-        act(&rig, Act::Link { from: names(&["g1"]), to: names(&["g2", "g3"]), fault: cut }).await;
-        act(&rig, Act::Kill(names(&["g8"]))).await;
+        act(&rig, Action::Link { from: names(&["g1"]), to: names(&["g2", "g3"]), fault: cut }).await;
+        act(&rig, Action::Kill(names(&["g8"]))).await;
         rig.wait_for_agreement(PATIENCE).await.expect("others pass on what a link does not");
         // Heard by none, it hears all: it is lost to them.
-        act(&rig, Act::Link { from: names(&["g1"]), to: names(&["gateways"]), fault: cut }).await;
+        act(&rig, Action::Link { from: names(&["g1"]), to: names(&["gateways"]), fault: cut }).await;
         let deaf = |views: &BTreeMap<String, Value>| {
             views
                 .iter()
@@ -215,14 +215,14 @@
             jitter_ms: 10,
             ..Default::default()
         };
-        act(&rig, Act::Link { from: names(&["gateways"]), to: names(&["gateways"]), fault }).await;
-        act(&rig, Act::Kill(names(&["g2"]))).await;
+        act(&rig, Action::Link { from: names(&["gateways"]), to: names(&["gateways"]), fault }).await;
+        act(&rig, Action::Kill(names(&["g2"]))).await;
         all_hold(&rig, &["g2"], "lost").await;
-        act(&rig, Act::Heal).await;
+        act(&rig, Action::Heal).await;
         // Back with its clock another hour behind: no old state comes with it.
         let gateway = rig.gateway(2).clone();
         gateway.config.borrow_mut()["fleet"]["clock_ahead_ms"] = json!(-7_200_000);
-        act(&rig, Act::Start(names(&["g2"]))).await;
+        act(&rig, Action::Start(names(&["g2"]))).await;
         rig.wait_for_agreement(PATIENCE).await.expect("six again");
     });
 }
@@ -238,13 +238,13 @@
                 fleet.remove("advertise");
             }
         };
-        act(&rig, Act::Kill(names(&["g3", "g4"]))).await;
+        act(&rig, Action::Kill(names(&["g3", "g4"]))).await;
         rig.wait_for_agreement(PATIENCE).await.expect("three");
         moves(3, "g3");
-        act(&rig, Act::Start(names(&["g3"]))).await;
+        act(&rig, Action::Start(names(&["g3"]))).await;
         rig.wait_for_agreement(PATIENCE).await.expect("the same name at another address");
         moves(4, "g1");
-        act(&rig, Act::Start(names(&["g4"]))).await;
+        act(&rig, Action::Start(names(&["g4"]))).await;
         for place in [1, 4] {
             rig.gateway(place)
                 .wait_for_line("two fleet members have one name", PATIENCE)
@@ -269,7 +269,7 @@
 #[test]
 fn one_that_forgets_to_leave_is_caught() {
     with(fleet(3), |rig| async move {
-        act(&rig, Act::Kill(names(&["g2"]))).await;
+        act(&rig, Action::Kill(names(&["g2"]))).await;
         rig.terminated.borrow_mut().insert("g2".to_string());
         let broken = rig.check().await;
         assert!(broken.iter().any(|broken| broken.check == "leaves are told"), "{broken:?}");
@@ -280,7 +280,7 @@
 fn without_the_section_no_socket_is_opened_and_the_command_says_so() {
     let mut experiment = fleet(1);
     experiment.gateways.fleet = false;
-    play(async {
+    block_on(async {
         let program = Path::new(env!("CARGO_BIN_EXE_lanespan"));
         let rig = Rig::start(&experiment, program, &directory()).await.expect("a gateway");
         let gateway = rig.gateway(0).clone();
@@ -308,7 +308,7 @@
 #[test]
 fn what_the_system_does_not_send_is_counted_and_nothing_else_suffers() {
     let experiment = fleet(3);
-    play(async {
+    block_on(async {
         let program = Path::new(env!("CARGO_BIN_EXE_lanespan"));
         // Nothing can be sent to port 0.
         let no_port =
@@ -336,7 +336,7 @@
 fn the_three_zones_experiment_holds_in_its_short_form() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../experiments/three-zones.toml");
     let text = std::fs::read_to_string(path).expect("the experiment");
-    let mut experiment = Experiment::read(&text).expect("it makes sense");
+    let mut experiment = Experiment::parse(&text).expect("it makes sense");
     experiment.seconds /= 4.0;
     experiment.timeline.iter_mut().for_each(|step| step.at /= 4.0);
     experiment.gateways.probe_ms /= 4;
--- a/crates/lanespan/tests/plan.rs
+++ b/crates/lanespan/tests/plan.rs
@@ -5,10 +5,10 @@
 use lanespan_fleet::replication::replica::DocumentVersion;
 use lanespan_fleet::wire::{self, Envelope, Kind};
 use lanespan_lab::checks::same_document;
-use lanespan_lab::experiment::{Act, Experiment};
+use lanespan_lab::experiment::{Action, Experiment};
 use lanespan_lab::gateway::Gateway;
 use lanespan_lab::links::Fault;
-use lanespan_lab::rig::{play, replication_address, Rig};
+use lanespan_lab::rig::{block_on, replication_address, Rig};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::future::Future;
@@ -38,7 +38,7 @@
         plan = {{ voters = {voters}, tick_ms = 20, lease_ms = 1000, trust_s = 1, ramp_s = 1 }}
         "#
     );
-    Experiment::read(&text).expect("an experiment")
+    Experiment::parse(&text).expect("an experiment")
 }
 
 fn directory() -> PathBuf {
@@ -49,7 +49,7 @@
 
 /// Plays with a fleet that has founded a document; its processes end with the test, however that ends.
 fn with_fleet<T: Future<Output = ()>>(experiment: Experiment, test: impl FnOnce(Rc<Rig>) -> T) {
-    play(async {
+    block_on(async {
         let program = Path::new(env!("CARGO_BIN_EXE_lanespan"));
         let rig = Rig::start(&experiment, program, &directory()).await.expect("a fleet");
         wait_for_index(&rig, 1).await;
@@ -57,8 +57,8 @@
     });
 }
 
-async fn act(rig: &Rig, act: Act) {
-    rig.act(&act).await.expect("it can be done");
+async fn act(rig: &Rig, act: Action) {
+    rig.apply(&act).await.expect("it can be done");
 }
 
 fn names(names: &[&str]) -> Vec<String> {
@@ -275,11 +275,11 @@
         };
         rig.wait_until("an alarm", PATIENCE, differs).await.expect("both are named");
         // A file that names itself as the only voter begins no second plan beside the first.
-        act(&rig, Act::Kill(names(&["g3"]))).await;
+        act(&rig, Action::Kill(names(&["g3"]))).await;
         let other = gateway_named(&rig, "g3");
         let voters = json!({ "g3": { "zone": other.zone, "address": replication_address(&other) } });
         other.config.borrow_mut()["fleet"]["plan"]["voters"] = voters;
-        act(&rig, Act::Start(names(&["g3"]))).await;
+        act(&rig, Action::Start(names(&["g3"]))).await;
         other.wait_for_line("other gateways act on a plan", PATIENCE).await.expect("it is reported");
         assert_eq!(other.get_json("/fleet/plan").await.expect("it answers")["votes"], false);
     });
@@ -291,16 +291,16 @@
         let first = commit_change(&rig, "1").await;
         wait_for_index(&rig, first).await;
         let old = wait_for_leader(&rig).await;
-        act(&rig, Act::Kill(vec![old.name.clone()])).await;
+        act(&rig, Action::Kill(vec![old.name.clone()])).await;
         let second = commit_change(&rig, "2").await;
         wait_for_index(&rig, second).await;
-        act(&rig, Act::Start(vec![old.name.clone()])).await;
+        act(&rig, Action::Start(vec![old.name.clone()])).await;
         wait_for_index(&rig, second).await;
-        act(&rig, Act::Kill(names(&["g0", "g1", "g2"]))).await;
+        act(&rig, Action::Kill(names(&["g0", "g1", "g2"]))).await;
         for voter in &rig.gateways[..3] {
             voter.wait_for_end().await;
         }
-        act(&rig, Act::Start(names(&["g0", "g1", "g2"]))).await;
+        act(&rig, Action::Start(names(&["g0", "g1", "g2"]))).await;
         assert!(rig
             .gateway(0)
             .wait_for_line("plan: open", PATIENCE)
@@ -319,10 +319,10 @@
     with_fleet(fleet(6, 3), |rig| async move {
         for role in ["failover", "work"] {
             let before = wait_for_holder(&rig, role).await;
-            act(&rig, Act::Stop(vec![before.holder.clone()])).await;
+            act(&rig, Action::Stop(vec![before.holder.clone()])).await;
             // Also where the holder leads: then it is another leader's grant.
             let after = wait_for_new_holder(&rig, role, &before).await;
-            act(&rig, Act::Resume(vec![before.holder.clone()])).await;
+            act(&rig, Action::Resume(vec![before.holder.clone()])).await;
             let old = gateway_named(&rig, &before.holder);
             old.wait_for_line(&format!("plan: duty lost duty=\"{role}\""), PATIENCE)
                 .await
@@ -363,7 +363,7 @@
     }
     with_fleet(experiment, |rig| async move {
         let before = wait_for_holder(&rig, "work").await;
-        act(&rig, Act::Terminate(vec![before.holder.clone()])).await;
+        act(&rig, Action::Terminate(vec![before.holder.clone()])).await;
         let after = wait_for_new_holder(&rig, "work", &before).await;
         assert!(after.token > before.token);
         gateway_named(&rig, &before.holder).wait_for_end().await;
@@ -382,8 +382,8 @@
         // Its datagrams are lost from here on, its connections are sound.
         let (from, to, fault) =
             (vec![before.holder.clone()], names(&["gateways"]), Fault { drop: 1.0, ..Fault::default() });
-        act(&rig, Act::Link { from, to, fault }).await;
-        act(&rig, Act::Terminate(vec![before.holder.clone()])).await;
+        act(&rig, Action::Link { from, to, fault }).await;
+        act(&rig, Action::Terminate(vec![before.holder.clone()])).await;
         wait_for_new_holder(&rig, "work", &before).await;
         let granted = format!(r#"key="work" value="{{\"holder\":\"{}\""#, before.holder);
         assert_eq!(rig.gateway(0).lines_with(&granted), 1, "{granted}");
@@ -398,7 +398,7 @@
         let there = wait_for_leader(&rig).await;
         let others: Vec<String> =
             rig.gateways[..3].iter().filter(|g| g.name != there.name).map(|g| g.name.clone()).collect();
-        act(&rig, Act::Kill(others.clone())).await;
+        act(&rig, Action::Kill(others.clone())).await;
         let trust = |shown: &BTreeMap<String, Value>| shown.values().all(|plan| plan["trust"] == 0.0);
         rig.wait_for_answers("trust given up", "/fleet/plan", PATIENCE, trust).await.expect("by all");
         for gateway in rig.running() {
@@ -412,7 +412,7 @@
         rig.run().await.expect("it plays");
         let report = rig.report(Vec::new());
         assert!(report.fates.get("served").is_some_and(|served| *served > 60), "{}", report.text());
-        act(&rig, Act::Start(others)).await;
+        act(&rig, Action::Start(others)).await;
         let after = commit_change(&rig, "3").await;
         assert!(after > before);
         wait_for_index(&rig, after).await;
@@ -428,7 +428,7 @@
         let cut = Fault { cut: true, ..Fault::default() };
         // 2/2/1: nobody has a majority, and nothing is agreed on until it is back.
         let zones = ["zone:a", "zone:b", "zone:c"].map(|zone| names(&[zone]));
-        act(&rig, Act::Partition(zones.to_vec())).await;
+        act(&rig, Action::Partition(zones.to_vec())).await;
         for gateway in &rig.gateways {
             gateway
                 .wait_for_line("no news of a leader with a majority", PATIENCE)
@@ -440,7 +440,7 @@
                 ask(gateway, &["plan", "propose", "versions", "floor", "alone", "--reason", "a test"]).await;
             assert!(matches!(shown.status.code(), Some(4 | 5)), "{}", text(&shown));
         }
-        act(&rig, Act::Heal).await;
+        act(&rig, Action::Heal).await;
         for round in 0..4 {
             let there = wait_for_leader(&rig).await;
             let zone = format!("zone:{}", there.zone);
@@ -451,31 +451,31 @@
                 .collect();
             let partition = match round {
                 // The leader's zone is cut off; it may hold two of five.
-                0 => Act::Partition(vec![vec![zone], others]),
+                0 => Action::Partition(vec![vec![zone], others]),
                 // The leader hears all and is heard by none.
-                1 => Act::Link { from: vec![there.name.clone()], to: names(&["gateways"]), fault: cut },
+                1 => Action::Link { from: vec![there.name.clone()], to: names(&["gateways"]), fault: cut },
                 // One link, one way.
                 2 => {
                     let to = rig.gateways[..5].iter().find(|g| g.name != there.name).expect("another");
-                    Act::Link { from: vec![there.name.clone()], to: vec![to.name.clone()], fault: cut }
+                    Action::Link { from: vec![there.name.clone()], to: vec![to.name.clone()], fault: cut }
                 }
                 // Loss where there are datagrams, and letters that take longer than an election.
                 _ => {
                     let fault = Fault { drop: 0.3, delay_ms: 150, jitter_ms: 300, ..Fault::default() };
-                    Act::Link { from: vec![there.name.clone()], to: names(&["gateways"]), fault }
+                    Action::Link { from: vec![there.name.clone()], to: names(&["gateways"]), fault }
                 }
             };
             act(&rig, partition).await;
             for value in 0..3 {
                 let (section, key) = ("versions".to_string(), "floor".to_string());
-                act(&rig, Act::Propose { section, key, value: format!("{round}.{value}") }).await;
+                act(&rig, Action::Propose { section, key, value: format!("{round}.{value}") }).await;
             }
             let shown = rig.proposals.clone();
             let wanted = 3 * (round + 1);
             rig.wait_until("all agreed", PATIENCE, || shown.borrow().len() >= wanted)
                 .await
                 .expect("the majority goes on");
-            act(&rig, Act::Heal).await;
+            act(&rig, Action::Heal).await;
             let last = shown.borrow().iter().map(|(index, _)| *index).max().expect("some");
             wait_for_index(&rig, last).await;
         }
@@ -493,17 +493,17 @@
         let store = rig.directory.join(format!("{}-plan", victim.name)).join("plan.redb");
         // A second process on a directory that is in use.
         let second = gateway_named(&rig, "g5");
-        act(&rig, Act::Kill(names(&["g5"]))).await;
+        act(&rig, Action::Kill(names(&["g5"]))).await;
         let own = second.config.borrow()["fleet"]["plan"]["directory"].clone();
         let taken = store.parent().expect("a folder").display().to_string();
         second.config.borrow_mut()["fleet"]["plan"]["directory"] = json!(taken);
         let refused = second.start().await.expect_err("the directory is taken").to_string();
         assert!(refused.contains("plan.redb") && refused.contains("open"), "{refused}");
         second.config.borrow_mut()["fleet"]["plan"]["directory"] = own;
-        act(&rig, Act::Start(names(&["g5"]))).await;
+        act(&rig, Action::Start(names(&["g5"]))).await;
         second.crashes.borrow_mut().clear();
         // Damage in the middle of what is read.
-        act(&rig, Act::Kill(vec![victim.name.clone()])).await;
+        act(&rig, Action::Kill(vec![victim.name.clone()])).await;
         let whole = std::fs::read(&store).expect("there");
         let damaged: Vec<u8> = whole.iter().map(|byte| byte ^ 0x55).collect();
         std::fs::write(&store, damaged).expect("written");
@@ -511,7 +511,7 @@
         assert!(refused.contains("plan.redb"), "{refused}");
         victim.crashes.borrow_mut().clear();
         std::fs::remove_file(&store).expect("there");
-        act(&rig, Act::Start(vec![victim.name.clone()])).await;
+        act(&rig, Action::Start(vec![victim.name.clone()])).await;
         victim
             .wait_for_line("the plan knows another under this name", PATIENCE)
             .await
@@ -535,7 +535,7 @@
         // It counts: with one of the other old ones gone, three of four are there only with it.
         let gone =
             rig.gateways[..3].iter().find(|g| g.name != victim.name && g.name != "g0").expect("another");
-        act(&rig, Act::Kill(vec![gone.name.clone()])).await;
+        act(&rig, Action::Kill(vec![gone.name.clone()])).await;
         let last = commit_change(&rig, "3").await;
         wait_for_index(&rig, last).await;
         assert_no_violation(&rig).await;
@@ -550,17 +550,17 @@
         let there = wait_for_leader(&rig).await;
         let victim = rig.gateways[..3].iter().find(|g| g.name != there.name).expect("another").clone();
         let store = rig.directory.join(format!("{}-plan", victim.name)).join("plan.redb");
-        act(&rig, Act::Kill(vec![victim.name.clone()])).await;
+        act(&rig, Action::Kill(vec![victim.name.clone()])).await;
         let older = std::fs::read(&store).expect("there");
-        act(&rig, Act::Start(vec![victim.name.clone()])).await;
+        act(&rig, Action::Start(vec![victim.name.clone()])).await;
         // It acknowledges more than the copy holds, to a leader that runs on.
         for value in ["2", "3"] {
             let index = commit_change(&rig, value).await;
             wait_for_index(&rig, index).await;
         }
-        act(&rig, Act::Kill(vec![victim.name.clone()])).await;
+        act(&rig, Action::Kill(vec![victim.name.clone()])).await;
         std::fs::write(&store, older).expect("written");
-        act(&rig, Act::Start(vec![victim.name.clone()])).await;
+        act(&rig, Action::Start(vec![victim.name.clone()])).await;
         victim.wait_for_line("an older copy?", PATIENCE).await.expect("it is reported");
         let index = commit_change(&rig, "4").await;
         wait_for_index(&rig, index).await;
@@ -568,11 +568,11 @@
         let second = rig.gateways[..3].iter().find(|g| g.name != victim.name && g.name != there.name);
         let second = second.expect("the third").clone();
         // The first comes back as a new voter, so that a majority is left.
-        act(&rig, Act::Kill(vec![victim.name.clone()])).await;
+        act(&rig, Action::Kill(vec![victim.name.clone()])).await;
         std::fs::remove_file(&store).expect("there");
-        act(&rig, Act::Start(vec![victim.name.clone()])).await;
+        act(&rig, Action::Start(vec![victim.name.clone()])).await;
         replace_voter(&rig, &victim).await;
-        act(&rig, Act::Kill(vec![second.name.clone()])).await;
+        act(&rig, Action::Kill(vec![second.name.clone()])).await;
         let size = std::fs::metadata(rig.directory.join(format!("{}-plan", second.name)).join("plan.redb"));
         let blocks = size.expect("there").len() / 512;
         let full = rig.directory.join("full.sh");
@@ -581,7 +581,7 @@
         std::fs::write(&full, script).expect("written");
         std::fs::set_permissions(&full, std::fs::Permissions::from_mode(0o700)).expect("its own");
         *second.program.borrow_mut() = full;
-        act(&rig, Act::Start(vec![second.name.clone()])).await;
+        act(&rig, Action::Start(vec![second.name.clone()])).await;
         let long = "x".repeat(4_000);
         // What the store has room for by now is far less than 200 of them.
         for _ in 0..200 {
@@ -607,8 +607,8 @@
         let rolling = async {
             for gateway in &rig.gateways {
                 let (section, key, value) = ("work".to_string(), gateway.name.clone(), gateway.name.clone());
-                act(&rig, Act::Propose { section, key, value }).await;
-                act(&rig, Act::Roll(vec![gateway.name.clone()])).await;
+                act(&rig, Action::Propose { section, key, value }).await;
+                act(&rig, Action::Roll(vec![gateway.name.clone()])).await;
             }
         };
         let (played, ()) = tokio::join!(rig.run(), rolling);
@@ -624,7 +624,7 @@
 fn the_agreed_plan_experiment_holds_in_its_short_form() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../experiments/agreed-plan.toml");
     let mut experiment =
-        Experiment::read(&std::fs::read_to_string(path).expect("there")).expect("it makes sense");
+        Experiment::parse(&std::fs::read_to_string(path).expect("there")).expect("it makes sense");
     experiment.seconds /= 4.0;
     experiment.timeline.iter_mut().for_each(|step| step.at /= 4.0);
     experiment.gateways.probe_ms /= 4;
