--- a/crates/lanespan/benches/admin.rs
+++ b/crates/lanespan/benches/admin.rs
@@ -1,12 +1,12 @@
 //! What the operators' door costs: CPU of the gateway a request with and without it in one run, the time of a scrape
 //! with 200 backends, the time from start to ready, and memory. `cargo bench --bench admin` prints a row each.
+#[path = "../tests/sockets/harness.rs"]
+mod harness;
 mod process;
-#[path = "../tests/sockets/world.rs"]
-mod world;
 
+use harness::*;
 use process::{compare, memory, spread};
 use std::time::Instant;
-use world::*;
 
 /// A gateway before as many backends as this, of which one is there, with the door open or closed.
 fn gateway(open: bool, backends: usize) -> (Discovery, Stub, Node, std::net::SocketAddr, f64) {
@@ -21,7 +21,7 @@
         config = config.replacen('{', "{\"admin\":{\"listen\":\"127.0.0.1:0\"},", 1);
     }
     let start = Instant::now();
-    let mut node = Node::spawn(operated(&config));
+    let mut node = Node::spawn(operator_command(&config));
     let door = node.address;
     if open {
         let line = node.wait_for_line("listening");
@@ -41,7 +41,7 @@
     let scrape = |path: &str| {
         let times = (0..40).map(|_| {
             let start = Instant::now();
-            let told = Client::at(door).ask(&format!("GET {path} HTTP/1.1\r\nHost: a\r\n\r\n"));
+            let told = Client::connect(door).exchange(&format!("GET {path} HTTP/1.1\r\nHost: a\r\n\r\n"));
             assert_eq!(told.status(), 200);
             start.elapsed().as_secs_f64() * 1e3
         });
--- a/crates/lanespan/benches/fleet.rs
+++ b/crates/lanespan/benches/fleet.rs
@@ -1,11 +1,11 @@
 //! What presence costs requests: CPU of a gateway a request, without a `fleet` section and as one of twelve, in one run.
 //! `cargo bench --bench fleet` prints both and their ratio.
+#[path = "../tests/sockets/harness.rs"]
+mod harness;
 mod process;
-#[path = "../tests/sockets/world.rs"]
-mod world;
 
+use harness::*;
 use process::{compare, free_ports, gateway};
-use world::*;
 
 const MEMBERS: usize = 12;
 
--- a/crates/lanespan/benches/plan.rs
+++ b/crates/lanespan/benches/plan.rs
@@ -1,11 +1,11 @@
 //! What the fleet plan costs requests: CPU of a gateway a request, without a `fleet` section, as one of three voters
 //! with a majority, and with its majority lost, in one run. `cargo bench --bench plan` prints all and their ratios.
+#[path = "../tests/sockets/harness.rs"]
+mod harness;
 mod process;
-#[path = "../tests/sockets/world.rs"]
-mod world;
 
+use harness::*;
 use process::{compare, free_ports, gateway};
-use world::*;
 
 const VOTERS: usize = 3;
 
--- a/crates/lanespan/benches/process/mod.rs
+++ b/crates/lanespan/benches/process/mod.rs
@@ -1,7 +1,7 @@
 //! What a bench reads of a gateway's process, and how two are compared.
 #![allow(dead_code, reason = "each program that shares this file uses a part of it")]
 
-use super::world::{config, operated, request, Discovery, Node, Stub};
+use super::harness::{config, operator_command, request, Discovery, Node, Stub};
 use std::net::{SocketAddr, TcpListener, UdpSocket};
 
 /// The least, the median and the most.
@@ -40,7 +40,7 @@
                     let asked = request("look", 4000)
                         .replace("00000000b4d65521", &format!("{:016x}", number % 500))
                         .replace("9b1f03aa", &format!("{number:08x}"));
-                    assert_eq!(client.ask(&asked).status(), 200);
+                    assert_eq!(client.exchange(&asked).status(), 200);
                 }
             });
         }
@@ -79,7 +79,7 @@
         Some(section) => named.replacen('{', &format!("{{\"fleet\":{section},"), 1),
         None => named,
     };
-    let mut node = Node::spawn(operated(&config));
+    let mut node = Node::spawn(operator_command(&config));
     if config.contains("fleet") {
         let line = node.wait_for_line("listening");
         node.address = line.split("address=").nth(1).and_then(|a| a.trim().parse().ok()).expect("an address");
--- a/crates/lanespan/benches/relay.rs
+++ b/crates/lanespan/benches/relay.rs
@@ -3,15 +3,15 @@
 //! prints a row each. The backend and the clients are threads of this program, and not counted.
 #[path = "../tests/sockets/bodies.rs"]
 mod bodies;
+#[path = "../tests/sockets/harness.rs"]
+mod harness;
 mod process;
-#[path = "../tests/sockets/world.rs"]
-mod world;
 
-use bodies::{answer, body, head, upload_head, Raw, MIB};
+use bodies::{read_body, read_head, respond, upload_head, StreamingBackend, MIB};
+use harness::*;
 use process::{cpu, memory};
 use std::io::{Read, Write};
 use std::net::SocketAddr;
-use world::*;
 
 const KIB: usize = 1 << 10;
 const ROUNDS: usize = 5;
@@ -27,9 +27,9 @@
 /// A gateway before one backend that answers with so many bytes, or takes as many as come.
 fn gateway(streaming: bool, way: Way, length: usize) -> (Discovery, Stub, Node) {
     if way == Way::Up {
-        let backend = Raw::start(|stream, head, _| {
-            let whole = body(stream, head);
-            answer(stream, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
+        let backend = StreamingBackend::start(|stream, head, _| {
+            let whole = read_body(stream, head);
+            respond(stream, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
             whole
         });
         return before(streaming, backend.address);
@@ -53,7 +53,7 @@
     if streaming {
         config = config.replacen('{', "{\"streaming\":{},", 1);
     }
-    let node = Node::spawn(operated(&config));
+    let node = Node::spawn(operator_command(&config));
     node.wait_ready();
     (discovery, counter, node)
 }
@@ -61,7 +61,7 @@
 /// Asks and reads the head; returns the length of the body.
 fn ask(client: &mut Client, number: usize) -> usize {
     client.send(&request("look", 4000).replace("9b1f03aa", &format!("{number:08x}")));
-    let head = head(client.bytes());
+    let head = read_head(client.reader());
     assert!(head[0].contains(" 200 "), "{head:?}");
     let length = head.iter().find_map(|line| line.strip_prefix("content-length: "));
     length.and_then(|length| length.parse().ok()).expect("a length")
@@ -85,13 +85,13 @@
                 for number in (part..requests).step_by(CLIENTS) {
                     if way == Way::Up {
                         begin(&mut client, number, length, body);
-                        assert_eq!(client.answer().expect("an answer").status(), 200);
+                        assert_eq!(client.read_response().expect("an answer").status(), 200);
                         continue;
                     }
                     let mut left = ask(&mut client, number);
                     while left > 0 {
                         let most = left.min(buffer.len());
-                        left -= client.bytes().read(&mut buffer[..most]).expect("it goes on");
+                        left -= client.reader().read(&mut buffer[..most]).expect("it goes on");
                     }
                 }
             });
--- a/crates/lanespan/tests/admin.rs
+++ b/crates/lanespan/tests/admin.rs
@@ -1,12 +1,12 @@
 //! The operators' door of a running gateway.
-#[path = "sockets/world.rs"]
-mod world;
+#[path = "sockets/harness.rs"]
+mod harness;
 
+use harness::*;
 use serde_json::Value;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::process::Command;
-use world::*;
 
 /// A gateway before one backend, with the door open, and where that is.
 fn gateway(section: &str) -> (Stub, Discovery, Stub, Node, SocketAddr) {
@@ -16,7 +16,7 @@
     let config =
         config(discovery.stub.address, counter.address).replacen('{', &format!("{{\"admin\":{section},"), 1);
     // The first line that names an address is the door's.
-    let mut node = Node::spawn(operated(&config));
+    let mut node = Node::spawn(operator_command(&config));
     let door = std::mem::replace(&mut node.address, SocketAddr::from(([127, 0, 0, 1], 0)));
     let line = node.wait_for_line("listening");
     node.address = line.split("address=").nth(1).and_then(|a| a.trim().parse().ok()).expect("an address");
@@ -27,7 +27,7 @@
 const OPEN: &str = r#"{"listen":"127.0.0.1:0"}"#;
 
 fn get(door: SocketAddr, path: &str) -> Message {
-    Client::at(door).ask(&format!("GET {path} HTTP/1.1\r\nHost: a\r\n\r\n"))
+    Client::connect(door).exchange(&format!("GET {path} HTTP/1.1\r\nHost: a\r\n\r\n"))
 }
 
 /// The value of a series; `None` if there is none.
@@ -40,10 +40,10 @@
 fn figures_tell_what_clients_got_and_what_stands() {
     let (_backend, _discovery, _counter, node, door) = gateway(OPEN);
     for _ in 0..3 {
-        assert_eq!(node.client().ask(&request("look", 3000)).status(), 200);
+        assert_eq!(node.client().exchange(&request("look", 3000)).status(), 200);
     }
     let small = request("look", 3000).replace("X-Plan: team", "X-Plan: small").replace("units=2", "units=4");
-    let refused = (0..4).filter(|_| node.client().ask(&small).status() == 429).count();
+    let refused = (0..4).filter(|_| node.client().exchange(&small).status() == 429).count();
     assert!(refused > 0);
     let told = get(door, "/metrics");
     assert!(told.header("content-type").is_some_and(|kind| kind.starts_with("application/openmetrics-text")));
@@ -62,7 +62,9 @@
     assert_eq!((get(door, "/healthz").status(), get(door, "/readyz").status()), (200, 200));
     assert_eq!(get(door, "/elsewhere").status(), 404);
     assert_eq!(
-        Client::at(door).ask("POST /metrics HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n").status(),
+        Client::connect(door)
+            .exchange("POST /metrics HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n")
+            .status(),
         405
     );
 }
@@ -80,7 +82,7 @@
                     let asked = request("look", 4000)
                         .replace("00000000b4d65521", &format!("{customer:016x}"))
                         .replace("9b1f03aa", &format!("{customer:08x}"));
-                    assert_eq!(client.ask(&asked).status(), 200);
+                    assert_eq!(client.exchange(&asked).status(), 200);
                 }
             });
         }
@@ -99,24 +101,24 @@
             stream
         })
         .collect();
-    assert_eq!(node.client().ask(&request("look", 3000)).status(), 200, "requests go on");
+    assert_eq!(node.client().exchange(&request("look", 3000)).status(), 200, "requests go on");
     // Their time ends, and with it their places.
     for mut stream in stuck {
-        stream.set_read_timeout(Some(LIMIT)).expect("a socket");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a socket");
         assert_eq!(stream.read(&mut [0; 64]).ok(), Some(0), "closed without an answer");
     }
     assert_eq!(get(door, "/healthz").status(), 200);
-    let mut long = Client::at(door);
+    let mut long = Client::connect(door);
     // A head without end is cut off; what was sent of it may be reset.
     let _ = long.write(format!("GET /{} HTTP/1.1\r\n", "x".repeat(64 * 1024)).as_bytes());
-    assert!(long.answer().is_none_or(|told| told.status() >= 400));
-    assert_eq!(node.client().ask(&request("look", 3000)).status(), 200);
+    assert!(long.read_response().is_none_or(|told| told.status() >= 400));
+    assert_eq!(node.client().exchange(&request("look", 3000)).status(), 200);
 }
 
 #[test]
 fn status_is_a_table_for_people_and_json_for_programs() {
     let (_backend, _discovery, _counter, node, door) = gateway(OPEN);
-    assert_eq!(node.client().ask(&request("look", 3000)).status(), 200);
+    assert_eq!(node.client().exchange(&request("look", 3000)).status(), 200);
     let ask = |words: &[&str]| {
         let mut command = Command::new(env!("CARGO_BIN_EXE_lanespan"));
         command.arg("status").args(words).env_remove("NODE_CONFIG").output().expect("it runs")
@@ -142,17 +144,18 @@
     let discovery = Discovery::start(&member("s-1", backend.address, "ready"));
     let nobody = std::net::TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a port");
     let config = config(discovery.stub.address, nobody).replacen('{', &format!("{{\"admin\":{OPEN},"), 1);
-    let mut node = Node::spawn(operated(&config));
+    let mut node = Node::spawn(operator_command(&config));
     let door = node.address;
     let line = node.wait_for_line("listening");
     node.address = line.split("address=").nth(1).and_then(|a| a.trim().parse().ok()).expect("an address");
     node.wait_ready();
-    let until = std::time::Instant::now() + LIMIT;
+    let until = std::time::Instant::now() + TEST_TIMEOUT;
     let mut customer = 0;
     while series(&get(door, "/metrics").body, "lanespan_breaker_open") != Some(1.0) {
         assert!(std::time::Instant::now() < until, "it never opened");
         customer += 1;
-        node.client().ask(&request("look", 3000).replace("00000000b4d65521", &format!("{customer:016x}")));
+        node.client()
+            .exchange(&request("look", 3000).replace("00000000b4d65521", &format!("{customer:016x}")));
     }
     let text = get(door, "/metrics").body;
     assert_eq!(series(&text, "lanespan_breaker_changes_total"), Some(1.0));
--- a/crates/lanespan/tests/command.rs
+++ b/crates/lanespan/tests/command.rs
@@ -1,11 +1,11 @@
 //! The command line and the configuration, as an operator meets them.
-#[path = "sockets/world.rs"]
-mod world;
+#[path = "sockets/harness.rs"]
+mod harness;
 
+use harness::*;
 use serde_json::{json, Value};
 use std::path::PathBuf;
 use std::process::{Command, Output};
-use world::*;
 
 /// The command with these words, told nothing by the environment.
 fn lanespan(words: &[&str]) -> Output {
@@ -29,7 +29,7 @@
 
 /// What `config check` says of a configuration: its exit code, and its lines.
 fn check(config: &str) -> (Option<i32>, Vec<String>) {
-    let path = file(config);
+    let path = config_file(config);
     let done = lanespan(&["config", "check", path.to_str().expect("a plain path")]);
     let place = format!("lanespan: {}: ", path.display());
     let lines = text(done.stderr);
@@ -287,8 +287,8 @@
     let discovery = Discovery::start(&member("s-1", backend.address, "ready"));
     let counter = counter();
     let text = config(discovery.stub.address, counter.address);
-    let path = file(&text);
-    let node = Node::spawn(operated_by(&path));
+    let path = config_file(&text);
+    let node = Node::spawn(operator_command_from(&path));
     node.wait_ready();
     for (changes, lines) in wrong_sites() {
         let mut wrong: Value = serde_json::from_str(&text).expect("JSON");
@@ -299,7 +299,7 @@
             node.wait_for_line(line);
         }
     }
-    assert_eq!(node.client().ask(&request("once", 3000)).status(), 200);
+    assert_eq!(node.client().exchange(&request("once", 3000)).status(), 200);
 }
 
 #[test]
@@ -352,16 +352,17 @@
     assert_eq!(lanespan(&["config", "check", path]).status.code(), Some(0));
     let shown: Value = serde_json::from_slice(&lanespan(&["config", "show", path]).stdout).expect("JSON");
     assert_eq!((&shown["pool"]["links"], &shown["streaming"]), (&json!(256), &Value::Null));
-    let mut command = operated_by(path.as_ref());
+    let mut command = operator_command_from(path.as_ref());
     // Ports of the system's, with nobody behind the others.
     command.env("NODE_LISTEN", "127.0.0.1:0").env("NODE_DISCOVERY", "127.0.0.1:1");
     let mut node = Node::spawn(command);
-    let told =
-        node.client().ask(&request("look", 4000).replace("look", "lookup").replace("spread=2", "spread=1"));
+    let told = node
+        .client()
+        .exchange(&request("look", 4000).replace("look", "lookup").replace("spread=2", "spread=1"));
     assert_eq!(told.status(), 429, "{told:?}");
     assert!(node.wait_for_line("discovery").contains("WARN"), "it says why");
     node.signal("TERM");
-    assert_eq!(node.ended(), Some(0));
+    assert_eq!(node.wait_for_exit(), Some(0));
 }
 
 #[test]
@@ -369,7 +370,7 @@
     let taken = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = taken.local_addr().expect("bound");
     let config = with("listen", json!(address));
-    let done = operated(&config.to_string()).output().expect("it runs");
+    let done = operator_command(&config.to_string()).output().expect("it runs");
     let told = text(done.stderr);
     assert_eq!(done.status.code(), Some(1), "{told}");
     let told: Vec<&str> = told.lines().filter(|line| line.starts_with("lanespan: ")).collect();
@@ -380,8 +381,8 @@
 fn sighup_names_what_needs_a_restart() {
     let (discovery, counter) = (Discovery::start(""), counter());
     let first = config(discovery.stub.address, counter.address);
-    let path = file(&first);
-    let node = Node::spawn(operated_by(&path));
+    let path = config_file(&first);
+    let node = Node::spawn(operator_command_from(&path));
     let mut second: Value = serde_json::from_str(&first).expect("JSON");
     second["limits"]["sockets"] = json!(512);
     second["settings"]["balancers"] = json!(3);
--- a/crates/lanespan/tests/outside_names.rs
+++ b/crates/lanespan/tests/outside_names.rs
@@ -1,16 +1,16 @@
 //! The names that operators and their programs rely on: commands with their options, configuration keys with their
 //! defaults, metrics with their labels, and what the admin address serves. Each test compares them with a file in
 //! `fixtures/`; a name that is meant to change is changed there too, and in docs/.
-#[path = "sockets/world.rs"]
-mod world;
+#[path = "sockets/harness.rs"]
+mod harness;
 
+use harness::*;
 use serde_json::{json, Value};
 use std::collections::BTreeSet;
 use std::net::{SocketAddr, TcpListener, UdpSocket};
 use std::path::PathBuf;
 use std::process::Command;
 use std::sync::atomic::{AtomicUsize, Ordering};
-use world::*;
 
 /// Compares with what is recorded, by lines.
 fn compare(found: &BTreeSet<String>, recorded: &str) {
@@ -65,7 +65,7 @@
 #[test]
 fn the_recorded_environment_variables_are_read() {
     let backend = SocketAddr::from(([127, 0, 0, 1], 1));
-    let path = file(&config(backend, backend));
+    let path = config_file(&config(backend, backend));
     let path = path.to_str().expect("text");
     let show = |variable: &str, value: &str| {
         let mut command = Command::new(env!("CARGO_BIN_EXE_lanespan"));
@@ -137,7 +137,7 @@
     config["admin"] = json!({"listen": admin});
     config["streaming"] = json!({});
     config["fleet"] = fleet;
-    let mut node = Node::spawn(operated(&config.to_string()));
+    let mut node = Node::spawn(operator_command(&config.to_string()));
     let line = node.wait_for_line("listening");
     node.address = line.split("address=").nth(1).and_then(|at| at.trim().parse().ok()).expect("an address");
     node.wait_ready();
@@ -169,13 +169,13 @@
 }
 
 fn get(admin: SocketAddr, path: &str) -> Message {
-    Client::at(admin).ask(&format!("GET {path} HTTP/1.1\r\nHost: a\r\n\r\n"))
+    Client::connect(admin).exchange(&format!("GET {path} HTTP/1.1\r\nHost: a\r\n\r\n"))
 }
 
 fn post(admin: SocketAddr, path: &str, body: &str) -> Message {
     let length = body.len();
-    Client::at(admin)
-        .ask(&format!("POST {path} HTTP/1.1\r\nHost: a\r\nContent-Length: {length}\r\n\r\n{body}"))
+    Client::connect(admin)
+        .exchange(&format!("POST {path} HTTP/1.1\r\nHost: a\r\nContent-Length: {length}\r\n\r\n{body}"))
 }
 
 /// Waits until the answer at a path, a JSON text, is as wanted.
@@ -232,7 +232,7 @@
 fn metrics_have_the_recorded_names_and_labels() {
     let (first, second, _stubs) = fleet();
     settled(&first, &second);
-    assert_eq!(first.node.client().ask(&request("look", 3000)).status(), 200);
+    assert_eq!(first.node.client().exchange(&request("look", 3000)).status(), 200);
     let text = get(first.admin, "/metrics").body;
     let mut found = BTreeSet::new();
     for line in text.lines() {
@@ -249,7 +249,7 @@
 fn the_admin_address_answers_with_the_recorded_keys() {
     let (first, second, _stubs) = fleet();
     settled(&first, &second);
-    assert_eq!(first.node.client().ask(&request("look", 3000)).status(), 200);
+    assert_eq!(first.node.client().exchange(&request("look", 3000)).status(), 200);
     let mut found = BTreeSet::new();
     let proposal = |id: u64, more: Value| {
         let mut body = json!({"id": id, "schema": 1, "proposer": "operator", "reason": "a test",
--- a/crates/lanespan/tests/sites.rs
+++ b/crates/lanespan/tests/sites.rs
@@ -1,11 +1,11 @@
 //! A gateway with the settings of each deployment in deploy/sites, spoken to by that deployment's names: headers,
 //! paths, fields and states come from the files beside its settings, and no other counts.
-#[path = "sockets/world.rs"]
-mod world;
+#[path = "sockets/harness.rs"]
+mod harness;
 
+use harness::*;
 use serde_json::{json, Map, Value};
 use std::path::{Path, PathBuf};
-use world::*;
 
 /// What a deployment calls things, as its files say.
 struct Site {
@@ -103,15 +103,15 @@
     fn node(&self, discovery: &Stub, counter: &Stub) -> Node {
         let config = json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": discovery.address,
             "counter": counter.address, "seed": "5", "settings": self.settings});
-        let mut command = program(&config.to_string());
+        let mut command = platform_command(&config.to_string());
         command.env("LANESPAN_NAMES", &self.names);
         Node::spawn(command)
     }
 
     fn wait_ready(&self, node: &Node) {
         let ask = format!("GET {} HTTP/1.1\r\nHost: h\r\n\r\n", self.name("paths", "ready"));
-        let until = std::time::Instant::now() + LIMIT;
-        while node.client().ask(&ask).status() != 200 {
+        let until = std::time::Instant::now() + TEST_TIMEOUT;
+        while node.client().exchange(&ask).status() != 200 {
             assert!(std::time::Instant::now() < until, "never ready");
         }
     }
@@ -134,7 +134,7 @@
         site.wait_ready(&node);
         let classes = site.settings["classes"].as_array().expect("classes");
         for (id, class) in classes.iter().enumerate() {
-            let answer = node.client().ask(&site.request(class, id as u32));
+            let answer = node.client().exchange(&site.request(class, id as u32));
             assert_eq!((answer.status(), answer.body.as_str()), (200, "ok"), "{class}");
         }
         let seen = backend.requests();
@@ -168,7 +168,7 @@
         let node = site.node(&discovery, &counter);
         site.wait_ready(&node);
         for (id, class) in site.settings["classes"].as_array().expect("classes").iter().enumerate() {
-            let answer = node.client().ask(&site.request(class, id as u32));
+            let answer = node.client().exchange(&site.request(class, id as u32));
             assert_eq!(answer.status(), 429, "it never ran, so trying again is harmless: {class}");
         }
         assert!(!full.requests().is_empty());
@@ -195,7 +195,7 @@
         let nowhere = Stub::start(|_| Reply::Silence);
         let config = json!({"listen": "127.0.0.1:0", "discovery": nowhere.address, "counter": nowhere.address,
             "settings": site.settings});
-        let mut command = program(&config.to_string());
+        let mut command = platform_command(&config.to_string());
         let done = command.env("LANESPAN_NAMES", &path).output().expect("it runs");
         let said = String::from_utf8(done.stderr).expect("text");
         assert_eq!(done.status.code(), Some(2), "{said}");
--- a/crates/lanespan/tests/sockets/bodies.rs
+++ b/crates/lanespan/tests/sockets/bodies.rs
@@ -1,17 +1,17 @@
 //! Long bodies for tests: made and digested piece by piece, so that none stands whole in memory.
 #![allow(dead_code, reason = "each program that shares this file uses a part of it")]
 
-use super::world::*;
+use super::harness::*;
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::{Arc, Mutex};
 
 pub const MIB: usize = 1 << 20;
-pub const STREAMING: &str =
+pub const STREAMING_SECTION: &str =
     r#"{"hold_kb":64,"wait_ms":200,"least_kb_per_s":64,"window_ms":1000,"longest_s":60}"#;
 
 /// How long the longest bodies are: by default what a small machine bears.
-pub fn large() -> usize {
+pub fn large_body_bytes() -> usize {
     std::env::var("BODY_MIB").map_or(96, |mib| mib.parse().expect("a number of MiB")) * MIB
 }
 
@@ -22,13 +22,13 @@
     let config = config(discovery.stub.address, counter.address)
         .replacen('{', &format!("{{\"streaming\":{section},"), 1)
         .replace("\"memory_mb\":192", &format!("\"memory_mb\":{memory_mb}"));
-    let node = Node::spawn(operated(&config));
+    let node = Node::spawn(operator_command(&config));
     node.wait_ready();
     (discovery, counter, node)
 }
 
 /// The bytes of a long body, so that any that is lost, doubled or moved shows in the digest.
-pub fn part(at: usize, length: usize) -> Vec<u8> {
+pub fn body_part(at: usize, length: usize) -> Vec<u8> {
     (at..at + length).map(|i| (i.wrapping_mul(2_654_435_761) >> 13) as u8).collect()
 }
 
@@ -43,19 +43,19 @@
     }
     pub fn of(length: usize) -> Digest {
         let mut digest = Digest::default();
-        (0..length).step_by(MIB).for_each(|at| digest.add(&part(at, MIB.min(length - at))));
+        (0..length).step_by(MIB).for_each(|at| digest.add(&body_part(at, MIB.min(length - at))));
         digest
     }
 }
 
 /// The head of a message that goes on: its lines, in lower case.
-pub fn head(from: &mut impl BufRead) -> Vec<String> {
+pub fn read_head(from: &mut impl BufRead) -> Vec<String> {
     let lines = from.lines().map_while(Result::ok);
     lines.take_while(|line| !line.is_empty()).map(|line| line.to_ascii_lowercase()).collect()
 }
 
 /// Reads so many bytes, or to the end of the connection.
-pub fn digest(from: &mut impl Read, length: usize) -> Digest {
+pub fn read_digest(from: &mut impl Read, length: usize) -> Digest {
     let (mut digest, mut buffer) = (Digest::default(), vec![0; 64 * 1024]);
     while digest.1 < length {
         let most = buffer.len().min(length - digest.1);
@@ -70,7 +70,7 @@
 }
 
 /// Reads a chunked body. `None`: it did not end well.
-pub fn chunked(from: &mut impl BufRead) -> Option<Digest> {
+pub fn read_chunked(from: &mut impl BufRead) -> Option<Digest> {
     let mut digest = Digest::default();
     loop {
         let mut line = String::new();
@@ -86,7 +86,7 @@
 }
 
 /// The most memory that the process had, in bytes.
-pub fn peak(node: &Node) -> usize {
+pub fn peak_memory_bytes(node: &Node) -> usize {
     let status = std::fs::read_to_string(format!("/proc/{}/status", node.child.id())).expect("it runs");
     let line = status.lines().find(|line| line.starts_with("VmHWM:")).expect("a figure");
     line.split_whitespace().nth(1).and_then(|kb| kb.parse::<usize>().ok()).expect("a number") * 1024
@@ -94,51 +94,57 @@
 
 /// What a raw backend saw of one request.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Seen {
+pub struct RecordedRequest {
     /// Which of its connections it came on, from 0.
     pub connection: usize,
     pub head: Vec<String>,
     /// What came of its body, if all of it did.
     pub body: Option<Digest>,
     /// What the backend did with it has ended.
-    pub over: bool,
+    pub finished: bool,
 }
 
-/// A backend that reads bodies piece by piece, or as `act` says.
-pub struct Raw {
+/// A backend that reads bodies piece by piece, or as `handler` says.
+pub struct StreamingBackend {
     pub address: SocketAddr,
-    pub seen: Arc<Mutex<Vec<Seen>>>,
+    pub seen: Arc<Mutex<Vec<RecordedRequest>>>,
 }
 
 /// What a raw backend does with a request whose head has come: it may read the body, and answers.
-pub type Act = dyn Fn(&mut BufReader<TcpStream>, &[String], usize) -> Option<Digest> + Send + Sync;
+pub type Handler = dyn Fn(&mut BufReader<TcpStream>, &[String], usize) -> Option<Digest> + Send + Sync;
 
-impl Raw {
-    /// `act` is told the head and the number of the request among all; without a body its connection ends.
+impl StreamingBackend {
+    /// `handler` is told the head and the number of the request among all; without a body its connection ends.
     pub fn start(
-        act: impl Fn(&mut BufReader<TcpStream>, &[String], usize) -> Option<Digest> + Send + Sync + 'static,
-    ) -> Raw {
+        handler: impl Fn(&mut BufReader<TcpStream>, &[String], usize) -> Option<Digest> + Send + Sync + 'static,
+    ) -> StreamingBackend {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let raw = Raw { address: listener.local_addr().expect("bound"), seen: Arc::default() };
-        let (act, seen) = (Arc::new(act) as Arc<Act>, raw.seen.clone());
+        let backend =
+            StreamingBackend { address: listener.local_addr().expect("bound"), seen: Arc::default() };
+        let (handler, seen) = (Arc::new(handler) as Arc<Handler>, backend.seen.clone());
         std::thread::spawn(move || {
             for (connection, stream) in listener.incoming().flatten().enumerate() {
-                let (act, seen) = (act.clone(), seen.clone());
+                let (handler, seen) = (handler.clone(), seen.clone());
                 std::thread::spawn(move || {
                     let mut stream = BufReader::new(stream);
                     loop {
-                        let head = head(&mut stream);
+                        let head = read_head(&mut stream);
                         if head.is_empty() {
                             return;
                         }
                         let number = {
                             let mut seen = seen.lock().expect("whole");
-                            seen.push(Seen { connection, head: head.clone(), body: None, over: false });
+                            seen.push(RecordedRequest {
+                                connection,
+                                head: head.clone(),
+                                body: None,
+                                finished: false,
+                            });
                             seen.len() - 1
                         };
-                        let body = act(&mut stream, &head, number);
+                        let body = handler(&mut stream, &head, number);
                         let mut seen = seen.lock().expect("whole");
-                        (seen[number].body, seen[number].over) = (body, true);
+                        (seen[number].body, seen[number].finished) = (body, true);
                         drop(seen);
                         if body.is_none() {
                             return;
@@ -147,17 +153,17 @@
                 });
             }
         });
-        raw
+        backend
     }
-    pub fn seen(&self) -> Vec<Seen> {
+    pub fn seen(&self) -> Vec<RecordedRequest> {
         self.seen.lock().expect("whole").clone()
     }
     /// The body of the last request, once the backend is done with it: its answer may be read before that.
     pub fn last_body(&self) -> Option<Digest> {
-        let until = std::time::Instant::now() + LIMIT;
+        let until = std::time::Instant::now() + TEST_TIMEOUT;
         loop {
             match self.seen().pop() {
-                Some(seen) if seen.over => return seen.body,
+                Some(seen) if seen.finished => return seen.body,
                 _ => assert!(std::time::Instant::now() < until, "it is never done"),
             }
             std::thread::yield_now();
@@ -166,17 +172,17 @@
 }
 
 /// Reads a body by the framing that its head names; `None` if it did not come whole.
-pub fn body(stream: &mut BufReader<TcpStream>, head: &[String]) -> Option<Digest> {
+pub fn read_body(stream: &mut BufReader<TcpStream>, head: &[String]) -> Option<Digest> {
     if head.iter().any(|line| line == "transfer-encoding: chunked") {
-        return chunked(stream);
+        return read_chunked(stream);
     }
     let length = head.iter().find_map(|line| line.strip_prefix("content-length: ")).unwrap_or("0");
     let length = length.parse().expect("a length");
-    Some(digest(stream, length)).filter(|digest| digest.1 == length)
+    Some(read_digest(stream, length)).filter(|digest| digest.1 == length)
 }
 
 /// Answers; the other side may have gone.
-pub fn answer(stream: &mut BufReader<TcpStream>, text: &str) {
+pub fn respond(stream: &mut BufReader<TcpStream>, text: &str) {
     let _ = stream.get_mut().write_all(text.as_bytes());
 }
 
--- a/crates/lanespan/tests/sockets/world.rs
+++ b/crates/lanespan/tests/sockets/harness.rs
@@ -18,7 +18,7 @@
 pub struct Node {
     pub child: Child,
     pub address: SocketAddr,
-    started: String,
+    startup_log: String,
     log: Arc<(Mutex<Vec<String>>, Condvar)>,
 }
 
@@ -30,7 +30,7 @@
 }
 
 /// A file of its own with this configuration.
-pub fn file(config: &str) -> PathBuf {
+pub fn config_file(config: &str) -> PathBuf {
     use std::sync::atomic::{AtomicUsize, Ordering};
     static NEXT: AtomicUsize = AtomicUsize::new(0);
     let name = format!("config-{}-{}.json", std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
@@ -40,31 +40,31 @@
 }
 
 /// The program, told to read this configuration as the platform's.
-pub fn program(config: &str) -> Command {
-    told_by(&file(config))
+pub fn platform_command(config: &str) -> Command {
+    platform_command_from(&config_file(config))
 }
 
 /// The program, told to read this file as the platform's.
-pub fn told_by(path: &Path) -> Command {
-    let mut command = run();
+pub fn platform_command_from(path: &Path) -> Command {
+    let mut command = run_command();
     command.env("NODE_CONFIG", path);
     command
 }
 
 /// The program, told to read this configuration as an operator's.
-pub fn operated(config: &str) -> Command {
-    operated_by(&file(config))
+pub fn operator_command(config: &str) -> Command {
+    operator_command_from(&config_file(config))
 }
 
 /// The program, told to read this file as an operator's.
-pub fn operated_by(path: &Path) -> Command {
-    let mut command = run();
+pub fn operator_command_from(path: &Path) -> Command {
+    let mut command = run_command();
     command.arg("--config").arg(path);
     command
 }
 
 /// The program as it runs, told nothing by the environment.
-fn run() -> Command {
+fn run_command() -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_lanespan"));
     command.arg("run").stderr(Stdio::piped());
     for name in
@@ -79,11 +79,14 @@
     pub fn spawn(mut command: Command) -> Node {
         let mut child = command.spawn().expect("it starts");
         let mut log = BufReader::new(child.stderr.take().expect("piped"));
-        let mut told = String::new();
+        let mut startup_log = String::new();
         let address = loop {
             let mut line = String::new();
-            assert!(log.read_line(&mut line).expect("text") > 0, "it ended before it listened: {told}");
-            told.push_str(&line);
+            assert!(
+                log.read_line(&mut line).expect("text") > 0,
+                "it ended before it listened: {startup_log}"
+            );
+            startup_log.push_str(&line);
             if let Some(address) = line.split("address=").nth(1) {
                 let address = address.split(' ').next().unwrap_or_default();
                 break address.trim().parse().expect("an address");
@@ -91,53 +94,53 @@
         };
         // Its log must not fill the pipe.
         let lines = Arc::<(Mutex<Vec<String>>, Condvar)>::default();
-        let kept = lines.clone();
+        let shared_lines = lines.clone();
         thread::spawn(move || {
             for line in log.lines().map_while(Result::ok) {
-                kept.0.lock().expect("whole").push(line);
-                kept.1.notify_all();
+                shared_lines.0.lock().expect("whole").push(line);
+                shared_lines.1.notify_all();
             }
         });
-        Node { child, address, started: told, log: lines }
+        Node { child, address, startup_log, log: lines }
     }
     /// Waits for a line of its log with this in it.
     pub fn wait_for_line(&self, part: &str) -> String {
         let found = |lines: &[String]| lines.iter().find(|line| line.contains(part)).cloned();
         let lines = self.log.0.lock().expect("whole");
-        let lines = self.log.1.wait_timeout_while(lines, LIMIT, |lines| found(lines).is_none());
+        let lines = self.log.1.wait_timeout_while(lines, TEST_TIMEOUT, |lines| found(lines).is_none());
         found(&lines.expect("whole").0).unwrap_or_else(|| panic!("waited in vain for a line with '{part}'"))
     }
     /// Its log up to the first line that names an address.
-    pub fn started(&self) -> &str {
-        &self.started
+    pub fn startup_log(&self) -> &str {
+        &self.startup_log
     }
     /// Asks again until this holds.
     pub fn wait_until(&self, what: &str, holds: impl Fn() -> bool) {
-        let until = Instant::now() + LIMIT;
+        let until = Instant::now() + TEST_TIMEOUT;
         while !holds() {
             assert!(Instant::now() < until, "waited in vain for {what}");
             thread::sleep(Duration::from_millis(2));
         }
     }
     /// Its log since then.
-    pub fn lines(&self) -> Vec<String> {
+    pub fn later_log_lines(&self) -> Vec<String> {
         self.log.0.lock().expect("whole").clone()
     }
     /// A gateway with these round it, ready.
     pub fn start(discovery: &Discovery, counter: &Stub) -> Node {
-        let node = Node::spawn(program(&config(discovery.stub.address, counter.address)));
+        let node = Node::spawn(platform_command(&config(discovery.stub.address, counter.address)));
         node.wait_ready();
         node
     }
     pub fn wait_ready(&self) {
-        let until = Instant::now() + LIMIT;
-        while self.client().ask("GET /_health HTTP/1.1\r\nHost: h\r\n\r\n").status() != 200 {
+        let until = Instant::now() + TEST_TIMEOUT;
+        while self.client().exchange("GET /_health HTTP/1.1\r\nHost: h\r\n\r\n").status() != 200 {
             assert!(Instant::now() < until, "never ready");
             thread::sleep(Duration::from_millis(5));
         }
     }
     pub fn client(&self) -> Client {
-        Client::at(self.address)
+        Client::connect(self.address)
     }
     /// Sends it a signal, such as TERM.
     pub fn signal(&self, name: &str) {
@@ -145,8 +148,8 @@
         assert!(sent.expect("kill runs").success());
     }
     /// Waits for the end and returns the exit code.
-    pub fn ended(&mut self) -> Option<i32> {
-        let until = Instant::now() + LIMIT;
+    pub fn wait_for_exit(&mut self) -> Option<i32> {
+        let until = Instant::now() + TEST_TIMEOUT;
         loop {
             if let Some(status) = self.child.try_wait().expect("a child") {
                 return status.code();
@@ -170,10 +173,10 @@
 }
 
 impl Client {
-    pub fn at(address: SocketAddr) -> Client {
+    pub fn connect(address: SocketAddr) -> Client {
         let stream = TcpStream::connect(address).expect("it listens");
-        stream.set_read_timeout(Some(LIMIT)).expect("a socket");
-        stream.set_write_timeout(Some(LIMIT)).expect("a socket");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a socket");
+        stream.set_write_timeout(Some(TEST_TIMEOUT)).expect("a socket");
         Client { reader: BufReader::new(stream.try_clone().expect("a socket")), stream }
     }
     /// Writes what may be cut off.
@@ -184,21 +187,21 @@
         self.stream.write_all(text.as_bytes()).expect("it reads");
     }
     /// The next answer; `None` when the connection ends without one.
-    pub fn answer(&mut self) -> Option<Message> {
+    pub fn read_response(&mut self) -> Option<Message> {
         Message::read(&mut self.reader)
     }
     /// What comes, byte for byte.
-    pub fn bytes(&mut self) -> &mut BufReader<TcpStream> {
+    pub fn reader(&mut self) -> &mut BufReader<TcpStream> {
         &mut self.reader
     }
     /// The answer to a request; `None` when the connection ends without one.
-    pub fn answer_to(&mut self, text: &str) -> Option<Message> {
+    pub fn try_exchange(&mut self, text: &str) -> Option<Message> {
         self.stream.write_all(text.as_bytes()).ok()?;
-        self.answer()
+        self.read_response()
     }
-    pub fn ask(&mut self, text: &str) -> Message {
+    pub fn exchange(&mut self, text: &str) -> Message {
         self.send(text);
-        self.answer().expect("an answer")
+        self.read_response().expect("an answer")
     }
 }
 
--- a/crates/lanespan/tests/sockets/main.rs
+++ b/crates/lanespan/tests/sockets/main.rs
@@ -1,11 +1,11 @@
 //! The gateway on loopback sockets: what real networks do to it that the simulator does not.
-mod world;
+mod harness;
 
+use harness::*;
 use std::collections::HashSet;
 use std::sync::atomic::{AtomicBool, Ordering::Relaxed};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use world::*;
 
 /// One backend, `s-1`, and a gateway before it.
 fn before(answer: impl Fn(&Message) -> Reply + Send + Sync + 'static) -> (Stub, Discovery, Stub, Node) {
@@ -21,7 +21,7 @@
     let (backend, _discovery, counter, node) = before(|_| http("200 OK", "the answer"));
     let mut client = node.client();
     for class in ["look", "buy", "once"] {
-        let answer = client.ask(&request(class, 3000));
+        let answer = client.exchange(&request(class, 3000));
         assert_eq!((answer.status(), answer.body.as_str()), (200, "the answer"));
     }
     let seen = backend.requests();
@@ -49,7 +49,7 @@
         ("HTTP/1.1 204 No\r\n\r\n", 502, 1),
     ] {
         let (backend, _discovery, _counter, node) = before(move |_| Reply::Raw(reply.into()));
-        let answer = node.client().ask(&request("once", 1500));
+        let answer = node.client().exchange(&request("once", 1500));
         assert_eq!(answer.status(), wanted, "{reply}");
         assert_eq!(backend.requests().len(), attempts, "{reply}");
     }
@@ -60,7 +60,7 @@
     let (_backend, _discovery, _counter, node) = before(|_| http("200 OK", ""));
     let start = Instant::now();
     let statuses: Vec<Message> = (0..6)
-        .map(|_| node.client().ask(&request("look", 4000).replace("X-Plan: team", "X-Plan: small")))
+        .map(|_| node.client().exchange(&request("look", 4000).replace("X-Plan: team", "X-Plan: small")))
         .collect();
     let refused = statuses.iter().find(|m| m.status() == 429).expect("beyond its quota");
     let wait: f64 = refused.header("retry-after").expect("advice").parse().expect("seconds");
@@ -72,7 +72,7 @@
 fn an_answer_that_breaks_off_may_have_run_and_is_never_served() {
     for broken in ["", "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf", "no HTTP at all\r\n\r\n"] {
         let (backend, _discovery, _counter, node) = before(move |_| Reply::RawThenClose(broken.to_string()));
-        let answer = node.client().ask(&request("once", 1500));
+        let answer = node.client().exchange(&request("once", 1500));
         assert_eq!(answer.status(), 502, "{broken}");
         assert_eq!(backend.requests().len(), 1, "an unsafe request goes out once");
     }
@@ -84,7 +84,7 @@
         before(|_| Reply::RawThenClose("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok".into()));
     let mut client = node.client();
     for _ in 0..5 {
-        assert_eq!(client.ask(&request("once", 2000)).status(), 200);
+        assert_eq!(client.exchange(&request("once", 2000)).status(), 200);
     }
     assert_eq!(backend.requests().len(), 5);
 }
@@ -97,7 +97,7 @@
     let (discovery, counter) = (Discovery::start(&members), counter());
     let node = Node::start(&discovery, &counter);
     for _ in 0..8 {
-        assert_eq!(node.client().ask(&request("look", 3000)).status(), 200);
+        assert_eq!(node.client().exchange(&request("look", 3000)).status(), 200);
     }
     assert!(!broken.requests().is_empty(), "the broken one was tried");
     assert_eq!(counter.requests().len(), 8, "a further attempt takes no units");
@@ -147,12 +147,12 @@
     ];
     for text in bad {
         let mut client = node.client();
-        let status = client.ask(&text).status();
+        let status = client.exchange(&text).status();
         assert!((400..500).contains(&status) && status != 429, "{status} for {:.300}", text);
-        assert!(client.answer().is_none(), "nothing behind it is read: {:.300}", text);
+        assert!(client.read_response().is_none(), "nothing behind it is read: {:.300}", text);
     }
     assert_eq!((backend.requests().len(), counter.requests().len()), (0, 0));
-    assert_eq!(node.client().ask(&good).status(), 200, "it goes on");
+    assert_eq!(node.client().exchange(&good).status(), 200, "it goes on");
 }
 
 #[test]
@@ -172,7 +172,7 @@
 fn silence_is_answered_before_the_clients_time_is_up() {
     let (backend, _discovery, _counter, node) = before(|_| Reply::Silence);
     let start = Instant::now();
-    assert_eq!(node.client().ask(&request("once", 600)).status(), 502);
+    assert_eq!(node.client().exchange(&request("once", 600)).status(), 502);
     assert!(start.elapsed() < Duration::from_secs(1), "{:?}", start.elapsed());
     backend.wait_for("the attempt's connection to close", |log| log.closed == log.opened);
 }
@@ -181,7 +181,7 @@
 fn a_connection_that_was_given_up_is_closed_before_the_next_attempt() {
     // With one backend the next attempt goes to it as well.
     let (backend, _discovery, _counter, node) = before(|_| Reply::Silence);
-    let answer = node.client().ask(&request("look", 2500));
+    let answer = node.client().exchange(&request("look", 2500));
     assert_eq!(answer.status(), 429, "safe to repeat, so it may be refused");
     let seen = backend.requests();
     assert!(seen.len() <= 3, "three attempts at most");
@@ -197,62 +197,62 @@
     let (discovery, counter) = (Discovery::start(&both), counter());
     let node = Node::start(&discovery, &counter);
     let mut client = node.client();
-    (0..20).for_each(|_| drop(client.ask(&request("look", 3000))));
+    (0..20).for_each(|_| drop(client.exchange(&request("look", 3000))));
     assert!(!old.requests().is_empty() && !new.requests().is_empty(), "both are used");
-    discovery.tell(42, false, &member("s-1", old.address, "draining"));
+    discovery.publish(42, false, &member("s-1", old.address, "draining"));
     let before = old.requests().len();
     for _ in 0..20 {
-        assert_eq!(client.ask(&request("look", 3000)).body, "new");
+        assert_eq!(client.exchange(&request("look", 3000)).body, "new");
     }
     assert_eq!(old.requests().len(), before);
     old.wait_for("its idle connections to close", |log| log.closed == log.opened);
     // Whole lists say by what they leave out who is gone.
-    discovery.tell(43, true, &member("s-1", old.address, "ready"));
-    assert_eq!(client.ask(&request("look", 3000)).body, "old");
+    discovery.publish(43, true, &member("s-1", old.address, "ready"));
+    assert_eq!(client.exchange(&request("look", 3000)).body, "old");
 }
 
 #[test]
 fn a_backend_that_moved_is_found_at_its_new_address() {
     let (backend, discovery, _counter, node) = before(|_| http("200 OK", "here"));
-    assert_eq!(node.client().ask(&request("once", 3000)).body, "here");
+    assert_eq!(node.client().exchange(&request("once", 3000)).body, "here");
     let moved = Stub::start(|_| http("200 OK", "there"));
-    discovery.tell(42, false, &member("s-1", moved.address, "ready"));
-    assert_eq!(node.client().ask(&request("once", 3000)).body, "there");
+    discovery.publish(42, false, &member("s-1", moved.address, "ready"));
+    assert_eq!(node.client().exchange(&request("once", 3000)).body, "there");
     assert_eq!(backend.requests().len(), 1);
 }
 
 #[test]
 fn what_discovery_garbles_or_tells_late_changes_nothing() {
     let (backend, discovery, _counter, node) = before(|_| http("200 OK", "ok"));
-    discovery.say(42, "{\"revision\":42,\"members\":7}");
+    discovery.set_response(42, "{\"revision\":42,\"members\":7}");
     discovery.stub.wait_for("the watch made again", |log| log.requests.len() >= 4);
-    assert_eq!(node.client().ask(&request("look", 3000)).status(), 200);
+    assert_eq!(node.client().exchange(&request("look", 3000)).status(), 200);
     // An older list that lacks the backend: the whole list is asked for, and that one is believed.
-    discovery.tell(43, false, "");
+    discovery.publish(43, false, "");
     let asked = |log: &Log| log.requests.iter().filter(|r| !r.line.contains("from=")).count();
-    discovery.say(40, &list(40, false, &member("s-1", backend.address, "gone")));
+    discovery.set_response(40, &endpoint_list(40, false, &member("s-1", backend.address, "gone")));
     discovery.stub.wait_for("the whole list asked for", |log| asked(log) >= 2);
-    assert_eq!(node.client().ask(&request("look", 3000)).status(), 200);
-    discovery.tell(44, true, &member("s-1", backend.address, "ready"));
-    assert_eq!(node.client().ask(&request("look", 3000)).status(), 200);
+    assert_eq!(node.client().exchange(&request("look", 3000)).status(), 200);
+    discovery.publish(44, true, &member("s-1", backend.address, "ready"));
+    assert_eq!(node.client().exchange(&request("look", 3000)).status(), 200);
 }
 
 #[test]
 fn it_is_ready_only_with_a_list_in_hand() {
     let silent = Stub::start(|_| Reply::Silence);
     let counter = counter();
-    let empty = Node::spawn(program(&config(silent.address, counter.address)));
+    let empty = Node::spawn(platform_command(&config(silent.address, counter.address)));
     silent.wait_for("the list asked for", |log| !log.requests.is_empty());
     let health = "GET /_health HTTP/1.1\r\nHost: h\r\n\r\n";
-    assert_eq!(empty.client().ask(health).status(), 503);
+    assert_eq!(empty.client().exchange(health).status(), 503);
     // With discovery silent, the list from before does after a while.
     let backend = Stub::start(|_| http("200 OK", "known"));
-    let known = list(7, true, &member("s-1", backend.address, "ready"));
+    let known = endpoint_list(7, true, &member("s-1", backend.address, "ready"));
     let config = config(silent.address, counter.address);
     let config = config.replacen('{', &format!("{{\"known\":{known},"), 1);
-    let node = Node::spawn(program(&config));
+    let node = Node::spawn(platform_command(&config));
     node.wait_ready();
-    assert_eq!(node.client().ask(&request("look", 3000)).body, "known");
+    assert_eq!(node.client().exchange(&request("look", 3000)).body, "known");
 }
 
 #[test]
@@ -262,18 +262,18 @@
         http("200 OK", "ok")
     });
     let (mut early, mut idle) = (node.client(), node.client());
-    assert_eq!(idle.ask("GET /_health HTTP/1.1\r\nHost: h\r\n\r\n").status(), 200);
+    assert_eq!(idle.exchange("GET /_health HTTP/1.1\r\nHost: h\r\n\r\n").status(), 200);
     early.send(&request("once", 3000));
     backend.wait_for("the attempt", |log| log.requests.len() == 1);
     node.signal("TERM");
-    assert!(idle.answer().is_none(), "idle connections are closed");
+    assert!(idle.read_response().is_none(), "idle connections are closed");
     let mut late = node.client();
-    assert_eq!(late.ask("GET /_health HTTP/1.1\r\nHost: h\r\n\r\n").status(), 503);
-    let answer = node.client().ask(&request("once", 3000).replace("9b1f", "9b20"));
+    assert_eq!(late.exchange("GET /_health HTTP/1.1\r\nHost: h\r\n\r\n").status(), 503);
+    let answer = node.client().exchange(&request("once", 3000).replace("9b1f", "9b20"));
     assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
-    let answer = early.answer().expect("the answer");
+    let answer = early.read_response().expect("the answer");
     assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
-    assert_eq!(node.ended(), Some(0));
+    assert_eq!(node.wait_for_exit(), Some(0));
 }
 
 #[test]
@@ -291,11 +291,11 @@
                 let request = request("look", 3000).replace("9b1f", &format!("9c{named:02}"));
                 while !late() {
                     let mut client = node.client();
-                    let mut answer = client.answer_to(&request);
+                    let mut answer = client.try_exchange(&request);
                     assert!(answer.is_some(), "a new connection is answered");
                     while answer.is_some_and(|a| a.header("connection") != Some("close")) {
                         answered.fetch_add(1, Ordering::Relaxed);
-                        answer = client.answer_to(&request);
+                        answer = client.try_exchange(&request);
                     }
                 }
             });
@@ -306,7 +306,7 @@
         node.signal("TERM");
         stopped.set(Instant::now()).expect("once");
     });
-    assert_eq!(node.ended(), Some(0));
+    assert_eq!(node.wait_for_exit(), Some(0));
 }
 
 #[test]
@@ -315,7 +315,7 @@
     let held = released.clone();
     let backend = Stub::start(move |_| {
         let go = held.0.lock().expect("whole");
-        drop(held.1.wait_timeout_while(go, LIMIT, |go| !*go).expect("whole"));
+        drop(held.1.wait_timeout_while(go, TEST_TIMEOUT, |go| !*go).expect("whole"));
         http("200 OK", "ok")
     });
     let discovery = Discovery::start(&member("s-1", backend.address, "ready"));
@@ -330,16 +330,17 @@
     node.wait_for_line("configuration read again");
     *released.0.lock().expect("whole") = true;
     released.1.notify_all();
-    let answer = client.answer().expect("the answer");
+    let answer = client.read_response().expect("the answer");
     assert_eq!((answer.status(), answer.body.as_str()), (200, "ok"));
-    assert_eq!(node.ended(), Some(0));
+    assert_eq!(node.wait_for_exit(), Some(0));
 }
 
 #[test]
 fn a_gateway_whose_log_nobody_reads_any_more_serves_on_and_ends_at_sigterm() {
     use std::io::BufRead;
     let (_backend, discovery, counter, _node) = before(|_| http("200 OK", "ok"));
-    let mut child = program(&config(discovery.stub.address, counter.address)).spawn().expect("it starts");
+    let mut child =
+        platform_command(&config(discovery.stub.address, counter.address)).spawn().expect("it starts");
     let mut log = std::io::BufReader::new(child.stderr.take().expect("piped"));
     let mut line = String::new();
     while !line.contains("address=") {
@@ -350,7 +351,7 @@
     let address = address.expect("an address").parse().expect("an address");
     drop(log);
     let ready = Instant::now();
-    while Client::at(address).ask("GET /_health HTTP/1.1\r\nHost: h\r\n\r\n").status() != 200 {
+    while Client::connect(address).exchange("GET /_health HTTP/1.1\r\nHost: h\r\n\r\n").status() != 200 {
         pace(ready);
     }
     let signal = |name: &str| {
@@ -359,13 +360,13 @@
     };
     // Each of these is told in the log.
     signal("-HUP");
-    assert_eq!(Client::at(address).ask(&request("look", 3000)).status(), 200);
+    assert_eq!(Client::connect(address).exchange(&request("look", 3000)).status(), 200);
     signal("-TERM");
     let told = Instant::now();
     let ended = loop {
         match child.try_wait().expect("a child") {
             Some(status) => break Some(status),
-            None if told.elapsed() > LIMIT => break None,
+            None if told.elapsed() > TEST_TIMEOUT => break None,
             None => std::thread::sleep(Duration::from_millis(5)),
         }
     };
@@ -378,19 +379,19 @@
 #[test]
 fn a_sigterm_before_it_is_ready_ends_it_well() {
     let silent = Stub::start(|_| Reply::Silence);
-    let mut node = Node::spawn(program(&config(silent.address, silent.address)));
+    let mut node = Node::spawn(platform_command(&config(silent.address, silent.address)));
     silent.wait_for("the list asked for", |log| !log.requests.is_empty());
     node.signal("TERM");
-    assert_eq!(node.ended(), Some(0));
+    assert_eq!(node.wait_for_exit(), Some(0));
 }
 
 #[test]
 fn a_client_that_goes_while_the_counter_is_silent_is_never_sent_on() {
     let released = Arc::new((std::sync::Mutex::new(false), std::sync::Condvar::new()));
-    let (held, adds) = (released.clone(), counter_that_adds());
+    let (held, adds) = (released.clone(), counter_handler());
     let counter = Stub::start(move |request| {
         let go = held.0.lock().expect("whole");
-        drop(held.1.wait_timeout_while(go, LIMIT, |go| !*go).expect("whole"));
+        drop(held.1.wait_timeout_while(go, TEST_TIMEOUT, |go| !*go).expect("whole"));
         adds(request)
     });
     let backend = Stub::start(|_| http("200 OK", "ok"));
@@ -406,7 +407,7 @@
     counter.wait_for("the next one's call", |log| log.requests.len() == 2);
     *released.0.lock().expect("whole") = true;
     released.1.notify_all();
-    assert_eq!(next.answer().expect("an answer").status(), 200);
+    assert_eq!(next.read_response().expect("an answer").status(), 200);
     let ids: Vec<_> =
         backend.requests().iter().filter_map(|r| r.header("x-call-id").map(str::to_string)).collect();
     assert_eq!(ids, ["9b2003aa5c7e2d41"], "the one that went is not sent on");
@@ -434,10 +435,10 @@
         (with_pool(&good, r#"{"backend_least":9,"backend_most":3}"#), "pool.backend_least: 9 is over"),
         (with_pool(&good, r#"{"links":900}"#), "pool.links: 900 is over what limits.sockets, 1024"),
     ] {
-        refused(operated(&bad), named);
+        refused(operator_command(&bad), named);
         // The platform's file is refused for what a gateway can't start without, and for nothing else.
         if named != "seed" && !named.starts_with("pool") {
-            refused(program(&bad), named);
+            refused(platform_command(&bad), named);
         }
     }
 }
@@ -461,20 +462,20 @@
     let members = [member("s-1", one.address, "ready"), member("s-2", other.address, "ready")].join(",");
     let (discovery, counter) = (Discovery::start(&members), counter());
     let config = config(discovery.stub.address, counter.address);
-    let path = file(&config);
-    let node = Node::spawn(operated_by(&path));
+    let path = config_file(&config);
+    let node = Node::spawn(operator_command_from(&path));
     node.wait_ready();
     let mut client = node.client();
     let start = Instant::now();
     while one.requests().is_empty() || other.requests().is_empty() {
-        assert_eq!(client.ask(&request("look", 3000)).status(), 200);
-        assert!(start.elapsed() < LIMIT, "both are used");
+        assert_eq!(client.exchange(&request("look", 3000)).status(), 200);
+        assert!(start.elapsed() < TEST_TIMEOUT, "both are used");
     }
     (one, other, discovery, counter, node, config, path)
 }
 
 fn opened_and_closed(stub: &Stub) -> (usize, usize) {
-    stub.look(|log| (log.opened, log.closed))
+    stub.with_log(|log| (log.opened, log.closed))
 }
 
 #[test]
@@ -485,7 +486,7 @@
     one.wait_for("its connections to close", |log| log.closed == log.opened);
     other.wait_for("its connections to close", |log| log.closed == log.opened);
     node.wait_for_line("pool open=0 idle=0");
-    assert_eq!(node.ended(), Some(0));
+    assert_eq!(node.wait_for_exit(), Some(0));
 }
 
 #[test]
@@ -517,18 +518,18 @@
     let backend = Stub::start(|_| http("200 OK", "ok"));
     let discovery = Discovery::start(&member("s-1", backend.address, "ready"));
     let counter = counter();
-    let inner = program(&config(discovery.stub.address, counter.address));
+    let inner = platform_command(&config(discovery.stub.address, counter.address));
     let mut command = std::process::Command::new("/bin/sh");
     command.args(["-c", &format!("ulimit -n 24; exec {} run", env!("CARGO_BIN_EXE_lanespan"))]);
     command.envs(inner.get_envs().filter_map(|(k, v)| Some((k, v?)))).stderr(std::process::Stdio::piped());
     let node = Node::spawn(command);
     node.wait_ready();
     let mut first = node.client();
-    assert_eq!(first.ask(&request("look", 3000)).status(), 200);
+    assert_eq!(first.exchange(&request("look", 3000)).status(), 200);
     let crowd: Vec<Client> = (0..40).map(|_| node.client()).collect();
-    assert_eq!(first.ask(&request("look", 3000)).status(), 200, "what is open goes on");
+    assert_eq!(first.exchange(&request("look", 3000)).status(), 200, "what is open goes on");
     drop(crowd);
-    assert_eq!(node.client().ask(&request("look", 3000)).status(), 200, "and new ones come in again");
+    assert_eq!(node.client().exchange(&request("look", 3000)).status(), 200, "and new ones come in again");
 }
 
 #[test]
@@ -543,10 +544,10 @@
     ] {
         let config =
             config(discovery.stub.address, counter.address).replace("2000000,\"units", "80000,\"units");
-        let node = Node::spawn(program(&config));
+        let node = Node::spawn(platform_command(&config));
         node.wait_ready();
         for _ in 0..6 {
-            assert_eq!(node.client().ask(&request("look", 3000)).status(), 200);
+            assert_eq!(node.client().exchange(&request("look", 3000)).status(), 200);
         }
         assert!((1..=6).contains(&counter.requests().len()), "no call is repeated");
     }
@@ -557,20 +558,20 @@
     let (backend, discovery, counter, _) = before(|_| http("200 OK", "ok"));
     let config =
         config(discovery.stub.address, counter.address).replace("\"sockets\":1024", "\"sockets\":64");
-    let node = Node::spawn(program(&config));
+    let node = Node::spawn(platform_command(&config));
     node.wait_ready();
     // Four times as many as there are places, each asking once and staying.
     let stayed: Vec<Client> = (0..128)
         .map(|_| {
             let mut client = node.client();
-            assert_eq!(client.ask(&request("look", 3000)).status(), 200);
+            assert_eq!(client.exchange(&request("look", 3000)).status(), 200);
             client
         })
         .collect();
     assert_eq!(backend.requests().len(), stayed.len());
     // As many that say nothing do not keep out one that does.
     let _silent: Vec<Client> = (0..128).map(|_| node.client()).collect();
-    assert_eq!(node.client().ask(&request("look", 3000)).status(), 200);
+    assert_eq!(node.client().exchange(&request("look", 3000)).status(), 200);
 }
 
 #[test]
@@ -579,21 +580,21 @@
     // Half of the descriptors are for clients: 32 places.
     let config =
         config(discovery.stub.address, counter.address).replace("\"sockets\":1024", "\"sockets\":64");
-    let node = Node::spawn(program(&config));
+    let node = Node::spawn(platform_command(&config));
     node.wait_ready();
     let mut stayed: Vec<Client> = (0..24)
         .map(|_| {
             let mut client = node.client();
-            assert_eq!(client.ask(&request("look", 3000)).status(), 200);
+            assert_eq!(client.exchange(&request("look", 3000)).status(), 200);
             client
         })
         .collect();
     let start = Instant::now();
     for client in &mut stayed[..8] {
-        assert!(client.answer().is_none());
+        assert!(client.read_response().is_none());
     }
-    assert!(start.elapsed() < LIMIT / 2, "the oldest are closed soon: {:?}", start.elapsed());
-    assert_eq!(stayed[23].ask(&request("look", 3000)).status(), 200, "half of the places may be kept");
+    assert!(start.elapsed() < TEST_TIMEOUT / 2, "the oldest are closed soon: {:?}", start.elapsed());
+    assert_eq!(stayed[23].exchange(&request("look", 3000)).status(), 200, "half of the places may be kept");
 }
 
 #[test]
@@ -609,7 +610,7 @@
         })
         .into();
     for client in &mut clients {
-        assert!(client.answer().is_none());
+        assert!(client.read_response().is_none());
     }
     assert!(start.elapsed() < Duration::from_secs(3), "{:?}", start.elapsed());
     assert_eq!((backend.requests().len(), counter.requests().len()), (0, 0));
@@ -621,10 +622,10 @@
     let mut first = node.client();
     first.send(&request("once", 800));
     backend.wait_for("the attempt", |log| log.requests.len() == 1);
-    assert_eq!(node.client().ask(&request("once", 800)).status(), 409);
-    assert_eq!(first.answer().expect("an answer").status(), 502);
+    assert_eq!(node.client().exchange(&request("once", 800)).status(), 409);
+    assert_eq!(first.read_response().expect("an answer").status(), 502);
     assert_eq!((backend.requests().len(), counter.requests().len()), (1, 1), "the second cost nothing");
-    assert_eq!(node.client().ask(&request("once", 300)).status(), 502, "it is free again");
+    assert_eq!(node.client().exchange(&request("once", 300)).status(), 502, "it is free again");
 }
 
 #[test]
@@ -632,33 +633,33 @@
     let (old, new) = (Stub::start(|_| http("200 OK", "old")), Stub::start(|_| http("200 OK", "new")));
     let discovery = Discovery::start(&member("s-1", old.address, "ready"));
     let first = counter();
-    let path = file(&config(discovery.stub.address, first.address));
-    let mut command = told_by(&path);
+    let path = config_file(&config(discovery.stub.address, first.address));
+    let mut command = platform_command_from(&path);
     command.env("NODE_DISCOVERY", discovery.stub.address.to_string());
     let node = Node::spawn(command);
     node.wait_ready();
     let mut client = node.client();
-    assert_eq!(client.ask(&request("look", 3000)).body, "old");
+    assert_eq!(client.exchange(&request("look", 3000)).body, "old");
     discovery.wait_for_watch(41);
     // A file that can't be used changes nothing.
     std::fs::write(&path, "{\"half\":").expect("written");
     node.signal("HUP");
-    assert_eq!(client.ask(&request("look", 3000)).body, "old");
+    assert_eq!(client.exchange(&request("look", 3000)).body, "old");
     // The new discovery numbers its versions anew, and begins lower than the old one was.
     let (moved, second) = (Discovery::start(""), counter());
-    moved.say(3, &list(3, true, &member("s-2", new.address, "ready")));
+    moved.set_response(3, &endpoint_list(3, true, &member("s-2", new.address, "ready")));
     std::fs::write(&path, config(moved.stub.address, second.address)).expect("written");
     let start = Instant::now();
     node.signal("HUP");
     moved.wait_for_watch(3);
     assert!(start.elapsed() < Duration::from_secs(2), "at once, not when the old watch ends");
-    assert_eq!(client.ask(&request("look", 3000)).body, "new");
+    assert_eq!(client.exchange(&request("look", 3000)).body, "new");
     assert_eq!(first.requests().len(), 2, "the counter is the new one");
     assert!(!second.requests().is_empty(), "which is asked");
     first.wait_for("its connections to close", |log| log.closed == log.opened);
     node.signal("TERM");
     let mut node = node;
-    assert_eq!(node.ended(), Some(0));
+    assert_eq!(node.wait_for_exit(), Some(0));
 }
 
 #[test]
@@ -667,7 +668,7 @@
     let (discovery, counter) = (Discovery::start(&member("s-1", backend.address, "ready")), counter());
     // A long tick: the counter's answers and the clients' ends are told to the module together.
     let config = config(discovery.stub.address, counter.address).replace("\"tick\":4000", "\"tick\":250000");
-    let node = Node::spawn(program(&config));
+    let node = Node::spawn(platform_command(&config));
     node.wait_ready();
     let clients: Vec<Client> = (0..8)
         .map(|i| {
@@ -679,7 +680,7 @@
     counter.wait_for("all their calls", |log| log.requests.len() == clients.len());
     drop(clients);
     for _ in 0..2 {
-        assert_eq!(node.client().ask(&request("look", 4000)).status(), 200);
+        assert_eq!(node.client().exchange(&request("look", 4000)).status(), 200);
     }
 }
 
@@ -693,7 +694,7 @@
             r#""per_second":1.0,"peak_units":4.0"#,
             &format!(r#""per_second":{rate}.0,"peak_units":{rate}.0"#),
         );
-    let node = Node::spawn(program(&config));
+    let node = Node::spawn(platform_command(&config));
     node.wait_ready();
     (discovery, node)
 }
@@ -704,7 +705,7 @@
         .replace("00000000b4d65521", &format!("{customer:016x}"))
         .replace("X-Plan: team", "X-Plan: small")
         .replace("units=2,spread=2", &format!("units={units},spread={spread}"));
-    client.ask(&request).status() == 200
+    client.exchange(&request).status() == 200
 }
 
 /// Of how many windows the counter was asked.
@@ -715,13 +716,13 @@
 
 /// Waits a little between two looks, and not for ever.
 fn pace(since: Instant) {
-    assert!(since.elapsed() < LIMIT, "waited in vain");
+    assert!(since.elapsed() < TEST_TIMEOUT, "waited in vain");
     std::thread::sleep(Duration::from_millis(20));
 }
 
 #[test]
 fn a_silent_counter_leaves_a_customer_what_other_gateways_were_not_seen_to_need() {
-    let (totals, down) = (counter_that_adds(), Arc::new(AtomicBool::new(false)));
+    let (totals, down) = (counter_handler(), Arc::new(AtomicBool::new(false)));
     let refuses = down.clone();
     let counter = Stub::start(move |request| match refuses.load(Relaxed) {
         true => http("503 Service Unavailable", ""),
--- a/crates/lanespan/tests/sockets/stubs.rs
+++ b/crates/lanespan/tests/sockets/stubs.rs
@@ -8,7 +8,7 @@
 use std::thread;
 use std::time::Duration;
 
-pub const LIMIT: Duration = Duration::from_secs(10);
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Runs what is asynchronous in a test of a part.
 pub fn on_runtime<T>(work: impl std::future::Future<Output = T>) -> T {
@@ -97,13 +97,13 @@
             for stream in listener.incoming().flatten() {
                 let (answer, seen) = (answer.clone(), seen.clone());
                 let mut connection = 0;
-                seen.note(|log| {
+                seen.update_log(|log| {
                     connection = log.opened;
                     log.opened += 1;
                 });
                 thread::spawn(move || {
                     seen.serve(stream, connection, &*answer);
-                    seen.note(|log| log.closed += 1);
+                    seen.update_log(|log| log.closed += 1);
                 });
             }
         });
@@ -114,7 +114,7 @@
         let mut stream = stream;
         while let Some(message) = Message::read(&mut reader) {
             let message = Message { connection, ..message };
-            self.note(|log| log.requests.push(message.clone()));
+            self.update_log(|log| log.requests.push(message.clone()));
             match answer(&message) {
                 Reply::Raw(text) => drop(stream.write_all(text.as_bytes())),
                 Reply::RawThenClose(text) => {
@@ -127,21 +127,22 @@
             }
         }
     }
-    fn note(&self, change: impl FnOnce(&mut Log)) {
+    fn update_log(&self, change: impl FnOnce(&mut Log)) {
         change(&mut self.log.0.lock().expect("whole"));
         self.log.1.notify_all();
     }
     /// Waits until what was seen is as wanted.
     pub fn wait_for(&self, what: &str, wanted: impl Fn(&Log) -> bool) {
         let log = self.log.0.lock().expect("whole");
-        let (_log, late) = self.log.1.wait_timeout_while(log, LIMIT, |log| !wanted(log)).expect("whole");
+        let (_log, late) =
+            self.log.1.wait_timeout_while(log, TEST_TIMEOUT, |log| !wanted(log)).expect("whole");
         assert!(!late.timed_out(), "waited in vain for {what}");
     }
-    pub fn look<T>(&self, look: impl FnOnce(&Log) -> T) -> T {
+    pub fn with_log<T>(&self, look: impl FnOnce(&Log) -> T) -> T {
         look(&self.log.0.lock().expect("whole"))
     }
     pub fn requests(&self) -> Vec<Message> {
-        self.look(|log| log.requests.clone())
+        self.with_log(|log| log.requests.clone())
     }
 }
 
@@ -149,33 +150,34 @@
 #[derive(Clone)]
 pub struct Discovery {
     pub stub: Stub,
-    news: Arc<(Mutex<(u64, String)>, Condvar)>,
+    response: Arc<(Mutex<(u64, String)>, Condvar)>,
 }
 
 impl Discovery {
     pub fn start(members: &str) -> Discovery {
-        let news = Arc::new((Mutex::new((41, list(41, true, members))), Condvar::new()));
-        let told = news.clone();
+        let response = Arc::new((Mutex::new((41, endpoint_list(41, true, members))), Condvar::new()));
+        let shared = response.clone();
         let stub = Stub::start(move |request| {
             let from = request.line.split("from=").nth(1).and_then(|r| r.split(['&', ' ']).next());
             let from: u64 = from.map_or(0, |from| from.parse().expect("a revision"));
-            let news = told.0.lock().expect("whole");
-            let (news, late) = told.1.wait_timeout_while(news, LIMIT, |n| n.0 == from).expect("whole");
+            let response = shared.0.lock().expect("whole");
+            let (response, late) =
+                shared.1.wait_timeout_while(response, TEST_TIMEOUT, |n| n.0 == from).expect("whole");
             if late.timed_out() {
                 return Reply::RawThenClose(String::new());
             }
-            http("200 OK", &news.1)
+            http("200 OK", &response.1)
         });
-        Discovery { stub, news }
+        Discovery { stub, response }
     }
     /// Answers the next watch with this text; it leads the watcher to that revision.
-    pub fn say(&self, revision: u64, text: &str) {
-        *self.news.0.lock().expect("whole") = (revision, text.to_string());
-        self.news.1.notify_all();
+    pub fn set_response(&self, revision: u64, text: &str) {
+        *self.response.0.lock().expect("whole") = (revision, text.to_string());
+        self.response.1.notify_all();
     }
     /// Tells changes and waits until the gateway watches from there, so has taken them in.
-    pub fn tell(&self, revision: u64, complete: bool, members: &str) {
-        self.say(revision, &list(revision, complete, members));
+    pub fn publish(&self, revision: u64, complete: bool, members: &str) {
+        self.set_response(revision, &endpoint_list(revision, complete, members));
         self.wait_for_watch(revision);
     }
     pub fn wait_for_watch(&self, revision: u64) {
@@ -184,7 +186,7 @@
     }
 }
 
-pub fn list(revision: u64, complete: bool, members: &str) -> String {
+pub fn endpoint_list(revision: u64, complete: bool, members: &str) -> String {
     format!(r#"{{"revision":{revision},"complete":{complete},"members":[{members}]}}"#)
 }
 pub fn member(id: &str, address: SocketAddr, phase: &str) -> String {
@@ -208,10 +210,10 @@
 
 /// A counter that adds up and answers at once.
 pub fn counter() -> Stub {
-    Stub::start(counter_that_adds())
+    Stub::start(counter_handler())
 }
 /// What such a counter answers.
-pub fn counter_that_adds() -> impl Fn(&Message) -> Reply + Send + Sync + 'static {
+pub fn counter_handler() -> impl Fn(&Message) -> Reply + Send + Sync + 'static {
     let totals = Mutex::new(std::collections::HashMap::new());
     move |request| {
         let name = request.line.split(['/', '?']).nth(3).expect("a name").to_string();
