--- a/crates/lanespan/src/admin.rs
+++ b/crates/lanespan/src/admin.rs
@@ -1,4 +1,4 @@
-//! A client of a running gateway's admin address.
+//! A blocking HTTP client for the admin address of a running gateway.
 
 use serde_json::Value;
 use std::io::{Read, Write};
@@ -6,51 +6,51 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// How long connecting, and each read and write, may take.
+/// The timeout of the connect and of each read and write.
 const IO_TIMEOUT: Duration = Duration::from_secs(3);
-/// The longest response that is read.
+/// A longer response is cut off at this length.
 const MAX_RESPONSE_BYTES: u64 = 16 << 20;
 
-/// Why a gateway's admin address gave no usable response.
+/// Why a request to a gateway's admin address has no usable response.
 #[derive(Debug, Error)]
 pub enum AdminError {
-    /// It could not be reached, or the connection broke.
-    #[error("{address}: {source}")]
+    /// The connection could not be opened, or it failed.
+    #[error("{address}: the admin request failed: {source}")]
     Io {
         /// The admin address.
         address: SocketAddr,
         /// The cause.
         source: std::io::Error,
     },
-    /// The response has no end of its head.
-    #[error("{0}: not an answer")]
+    /// The response has no blank line after its head.
+    #[error("{0}: expected an HTTP response, found an incomplete head")]
     Truncated(SocketAddr),
-    /// The response's first line holds no status.
-    #[error("{address}: answered {line}")]
+    /// The first line of the response has no status code.
+    #[error("{address}: expected an HTTP status line, found {line}")]
     InvalidStatusLine {
         /// The admin address.
         address: SocketAddr,
-        /// The line.
+        /// The first line of the response.
         line: String,
     },
     /// The gateway does not serve the path.
-    #[error("{address}: has no {path}; is its section configured?")]
+    #[error("{address}: {path} not found; is its section configured?")]
     NotFound {
         /// The admin address.
         address: SocketAddr,
-        /// The path.
+        /// The requested path.
         path: String,
     },
-    /// The status is not 200.
-    #[error("{address}: answered {status}")]
+    /// The status of the response is not 200.
+    #[error("{address}: expected status 200, found {status}")]
     Status {
         /// The admin address.
         address: SocketAddr,
-        /// The status.
+        /// The status of the response.
         status: u16,
     },
-    /// The body is not JSON.
-    #[error("{address}: not JSON: {source}")]
+    /// The body of the response is not JSON.
+    #[error("{address}: expected a JSON response: {source}")]
     Json {
         /// The admin address.
         address: SocketAddr,
@@ -59,7 +59,7 @@
     },
 }
 
-/// Gets JSON from a path.
+/// Requests a path with GET and parses the response as JSON.
 pub fn get_json(address: SocketAddr, path: &str) -> Result<Value, AdminError> {
     match call(address, "GET", path, "")? {
         (200, body) => serde_json::from_str(&body).map_err(|source| AdminError::Json { address, source }),
@@ -67,7 +67,7 @@
     }
 }
 
-/// Sends a request; returns the status and body of the response.
+/// Sends a request and returns the status and body of the response.
 pub fn call(address: SocketAddr, method: &str, path: &str, body: &str) -> Result<(u16, String), AdminError> {
     let response =
         exchange(address, method, path, body).map_err(|source| AdminError::Io { address, source })?;
@@ -83,6 +83,7 @@
     }
 }
 
+/// Sends a request on a connection of its own and returns the response, head included.
 fn exchange(address: SocketAddr, method: &str, path: &str, body: &str) -> std::io::Result<String> {
     let mut stream = TcpStream::connect_timeout(&address, IO_TIMEOUT)?;
     stream.set_read_timeout(Some(IO_TIMEOUT))?;
--- a/crates/lanespan/src/cli.rs
+++ b/crates/lanespan/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line: commands, options, and the configuration that they name.
+//! The command line: its commands and options, and which configuration file they select.
 
 use clap::{Args, CommandFactory, Parser, Subcommand};
 use clap_complete::Shell;
@@ -8,7 +8,7 @@
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// A gateway that holds the customers of a package registry to quotas which all gateways share, and spreads their
+/// A gateway that enforces the quotas of a package registry's customers, which all gateways share, and balances their
 /// requests over backends.
 #[derive(Parser)]
 #[command(
@@ -19,28 +19,28 @@
         lanespan run --config lanespan.toml"
 )]
 pub struct Lanespan {
-    /// What to do.
+    /// The command to run.
     #[command(subcommand)]
     pub command: Command,
 }
 
 #[derive(Subcommand)]
 pub enum Command {
-    /// Run a gateway until SIGTERM; SIGHUP reads its file again
+    /// Run a gateway until SIGTERM; SIGHUP reloads its configuration
     #[command(after_help = "Examples:\n  lanespan run --config lanespan.toml\n  \
         NODE_CONFIG=/run/balancer/config.json lanespan run")]
     Run(RunArgs),
     /// Check, show and explain configuration files
     #[command(subcommand)]
     Config(ConfigCommand),
-    /// Ask a running gateway how it is, through its admin address
+    /// Show the state of a running gateway, from its admin address
     #[command(after_help = "Examples:\n  lanespan status --admin 127.0.0.1:9901\n  \
         lanespan status --config lanespan.toml --json")]
     Status(AdminArgs),
-    /// Ask a running gateway what it knows of the others
+    /// Show the fleet as a running gateway sees it, and change the fleet document
     #[command(subcommand)]
     Fleet(FleetCommand),
-    /// Print a shell's completions
+    /// Print the completion script for a shell
     #[command(after_help = "Example:\n  lanespan completions bash > /etc/bash_completion.d/lanespan")]
     Completions {
         /// The shell
@@ -50,55 +50,56 @@
 
 #[derive(Subcommand)]
 pub enum ConfigCommand {
-    /// Tell every problem of a file, a line each
+    /// Report every problem of a file, one per line
     #[command(after_help = "Example:\n  lanespan config check lanespan.toml && kill -HUP $(pidof lanespan)")]
     Check(ConfigArgs),
-    /// Print a file as it was understood, with the bounds that follow from it
+    /// Print the effective configuration of a file, with the limits derived from it
     Show(ConfigArgs),
-    /// Print a commented file that a gateway starts with as it is
+    /// Print a commented example that a gateway starts with unchanged
     #[command(after_help = "Example:\n  lanespan config example > lanespan.toml")]
     Example,
-    /// Print the JSON schema of the file
+    /// Print the JSON schema of the configuration file
     Schema,
-    /// Print the tables of docs/configuration.md
+    /// Print the reference tables of docs/configuration.md
     Reference,
 }
 
 #[derive(Subcommand)]
 pub enum FleetCommand {
-    /// List the gateways that it knows, by zone
+    /// List the known gateways and count them by zone
     #[command(after_help = "Examples:\n  lanespan fleet members --admin 127.0.0.1:9901\n  \
         lanespan fleet members --config lanespan.toml --json")]
     Members(AdminArgs),
-    /// Show and change the plan that all gateways act on
+    /// Show and change the fleet document that all gateways act on
     #[command(subcommand)]
     Plan(PlanCommand),
-    /// Add and remove those that vote on the plan, one at a time
+    /// Add and remove voters of the fleet document, one at a time
     #[command(subcommand)]
     Voters(VotersCommand),
-    /// List who holds which duty
+    /// List the leases and their holders
     #[command(after_help = "Example:\n  lanespan fleet duties --admin 127.0.0.1:9901")]
     Duties(AdminArgs),
 }
 
 #[derive(Subcommand)]
 pub enum PlanCommand {
-    /// Show the plan that a gateway acts on
+    /// Show the fleet document that a gateway acts on
     #[command(after_help = "Example:\n  lanespan fleet plan show --admin 127.0.0.1:9901")]
     Show(AdminArgs),
-    /// List the entries that a gateway still keeps
+    /// List the entries of the fleet document that a gateway retains
     History(AdminArgs),
-    /// Propose a change; exit code 3 if it is refused, 4 if another gateway decides, 5 if it is not decided in time
+    /// Propose a change; exit code 3 if it is rejected, 4 if the gateway is not the leader, 5 if it is not decided in
+    /// time
     #[command(
         after_help = "Example:\n  lanespan fleet plan propose versions floor 17 --reason \"release 17\" \\\n    \
         --admin 127.0.0.1:9901"
     )]
     Propose(ProposeArgs),
-    /// List what changed after one index up to another
+    /// List the items that changed after one index, up to and including another
     Diff {
-        /// The earlier index
+        /// The index after which changes are listed
         from: u64,
-        /// The later index
+        /// The last index
         to: u64,
         #[command(flatten)]
         admin: AdminArgs,
@@ -107,28 +108,28 @@
 
 #[derive(Args)]
 pub struct ProposeArgs {
-    /// The section
+    /// The section of the fleet document
     pub section: String,
-    /// The item
+    /// The key of the item in its section
     pub key: String,
-    /// What it holds from now on; without one it is removed
+    /// The new value of the item; without a value the item is removed
     pub value: Option<String>,
-    /// Why
+    /// The reason, recorded with the entry
     #[arg(long)]
     pub reason: String,
-    /// Who asks
+    /// Who proposes the change
     #[arg(long, default_value = "operator")]
     pub proposer: String,
-    /// A digest of what it was concluded from
+    /// A digest of the data that the change is based on
     #[arg(long, default_value = "")]
     pub evidence: String,
-    /// Only if the plan is at this index
+    /// Accept the change only if the fleet document is at this index
     #[arg(long)]
     pub expected: Option<u64>,
-    /// Only if the item was last changed at this index; 0: only if it is not there
+    /// Accept the change only if the item was last changed at this index; 0: only if the item does not exist
     #[arg(long)]
     pub after: Option<u64>,
-    /// The id under which it was sent before
+    /// The id under which the same proposal was sent before
     #[arg(long)]
     pub id: Option<u64>,
     #[command(flatten)]
@@ -139,24 +140,24 @@
 pub enum VotersCommand {
     /// Add a gateway that has a plan directory
     Add {
-        /// Its name
+        /// The name of the gateway
         name: String,
-        /// Its plan's address
+        /// The gateway's replication address
         address: SocketAddr,
-        /// Its zone
+        /// The gateway's zone
         #[arg(long)]
         zone: String,
-        /// Why
+        /// The reason, recorded with the entry
         #[arg(long)]
         reason: String,
         #[command(flatten)]
         admin: AdminArgs,
     },
-    /// Remove one
+    /// Remove a voter
     Remove {
-        /// Its name
+        /// The name of the voter
         name: String,
-        /// Why
+        /// The reason, recorded with the entry
         #[arg(long)]
         reason: String,
         #[command(flatten)]
@@ -166,18 +167,18 @@
 
 #[derive(Args)]
 pub struct RunArgs {
-    /// An operator's configuration: TOML if its name ends so, else JSON [default: the platform's, which NODE_CONFIG
-    /// names]
+    /// An operator's configuration: TOML if its name ends in .toml, else JSON [default: the platform's, named by
+    /// NODE_CONFIG]
     #[arg(long, value_name = "FILE")]
     pub config: Option<PathBuf>,
 }
 
 #[derive(Args)]
 pub struct ConfigArgs {
-    /// The configuration: TOML if its name ends so, else JSON [default: the platform's, which NODE_CONFIG names]
+    /// The configuration: TOML if its name ends in .toml, else JSON [default: the platform's, named by NODE_CONFIG]
     #[arg(value_name = "FILE")]
     pub config: Option<PathBuf>,
-    /// Read it as the platform's, which may hold any key
+    /// Read the file as the platform's, which may have keys unknown to the gateway
     #[arg(long)]
     pub platform: bool,
 }
@@ -187,16 +188,16 @@
     /// The gateway's admin address
     #[arg(long, value_name = "ADDRESS")]
     pub admin: Option<SocketAddr>,
-    /// Its configuration, which names the address [default: the platform's, which NODE_CONFIG names]
+    /// The gateway's configuration, which has the admin address [default: the platform's, named by NODE_CONFIG]
     #[arg(long, value_name = "FILE")]
     pub config: Option<PathBuf>,
-    /// Print JSON for programs
+    /// Print JSON instead of a table
     #[arg(long)]
     pub json: bool,
 }
 
 impl AdminArgs {
-    /// The admin address that is named, or that of the configuration.
+    /// Returns the address given with `--admin`, or else the admin address of the configuration.
     pub fn address(&self) -> Result<SocketAddr, UsageError> {
         if let Some(admin) = self.admin {
             return Ok(admin);
@@ -208,30 +209,30 @@
     }
 }
 
-/// Why a command line, with the environment and the files that it names, makes no sense.
+/// Why a command line is invalid, with the environment and the files that it names.
 #[derive(Debug, Error)]
 pub enum UsageError {
     /// Neither the command line nor the environment names a configuration.
-    #[error("name a configuration file, or set NODE_CONFIG to the platform's; see --help")]
+    #[error("no configuration file: name one, or set NODE_CONFIG to the platform's; see --help")]
     NoConfig,
-    /// A variable of the environment holds no address.
+    /// The value of an environment variable is not an address with a port.
     #[error("{variable}: expected an address and a port, found '{text}'")]
     InvalidAddress {
-        /// The variable.
+        /// The name of the variable.
         variable: &'static str,
-        /// Its text.
+        /// The value of the variable.
         text: String,
     },
     /// The configuration is not valid.
     #[error(transparent)]
     Config(#[from] ConfigError),
     /// The configuration has no admin address.
-    #[error("{}: admin: there is no such section", .0.display())]
+    #[error("{}: admin: expected a section with the admin address, found none", .0.display())]
     NoAdminSection(PathBuf),
 }
 
 impl UsageError {
-    /// Each problem, as it is printed on a line of its own.
+    /// Returns one line for each problem.
     pub fn lines(&self) -> Vec<String> {
         match self {
             UsageError::Config(error) => error.lines().to_vec(),
@@ -240,8 +241,8 @@
     }
 }
 
-/// The file that is named, or else the platform's, with the settings of the environment. A named file is an operator's
-/// unless `platform` is set.
+/// Returns the named configuration file, or else the platform's, with the settings from the environment. A named file
+/// is read as an operator's unless `platform` is set.
 pub fn config_source(named: Option<PathBuf>, platform: bool) -> Result<Source, UsageError> {
     let path_from = |variable| std::env::var_os(variable).map(PathBuf::from);
     let origin = if named.is_some() && !platform { Origin::Operator } else { Origin::Platform };
@@ -257,6 +258,7 @@
     })
 }
 
+/// Reads an address with a port from an environment variable; `None` if the variable is not set.
 fn address_from(variable: &'static str) -> Result<Option<SocketAddr>, UsageError> {
     let Ok(text) = std::env::var(variable) else { return Ok(None) };
     match text.parse() {
@@ -265,7 +267,7 @@
     }
 }
 
-/// The completion script for a shell.
+/// Returns the completion script for a shell.
 pub fn completions(shell: Shell) -> String {
     let mut script = Vec::new();
     clap_complete::generate(shell, &mut Lanespan::command(), "lanespan", &mut script);
--- a/crates/lanespan/src/fleet.rs
+++ b/crates/lanespan/src/fleet.rs
@@ -1,12 +1,12 @@
-//! `lanespan fleet members`: a running gateway's view of the fleet, as tables for people.
+//! `lanespan fleet members`: formats a running gateway's view of the fleet as tables.
 
 use serde_json::Value;
 use std::fmt::Write as _;
 
-/// Where a gateway shows its members.
+/// The admin path of the membership view.
 pub const MEMBERS_PATH: &str = "/fleet/members";
 
-/// The members counted by zone, and a row for each of them.
+/// Formats the membership view: the number of members by zone, and one row per member.
 pub fn members_table(view: &Value) -> String {
     let mut text = String::new();
     // Writing to a String can't fail.
@@ -17,7 +17,7 @@
         text_of(&view["me"]["name"]),
         text_of(&view["digest"])
     );
-    let _ = writeln!(text, "told another digest lately: {}", view["disagreeing"]);
+    let _ = writeln!(text, "members with another digest: {}", view["disagreeing"]);
     for name in view["claimed_twice"].as_array().into_iter().flatten() {
         let _ = writeln!(text, "claimed twice: {}", text_of(name));
     }
@@ -29,11 +29,12 @@
     text + &member_rows(&view["members"])
 }
 
-/// A JSON string, or a dash where there is none.
+/// Returns the text of a JSON string, or a dash for any other value.
 fn text_of(value: &Value) -> &str {
     value.as_str().unwrap_or("-")
 }
 
+/// Formats one row per member, below a header.
 fn member_rows(members: &Value) -> String {
     let mut text = String::new();
     // Writing to a String can't fail.
--- a/crates/lanespan/src/main.rs
+++ b/crates/lanespan/src/main.rs
@@ -1,4 +1,4 @@
-//! `lanespan`: the command of the gateway.
+//! `lanespan`: runs a gateway, checks its configuration and queries running gateways.
 
 mod admin;
 mod cli;
@@ -14,10 +14,10 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// The exit code where the command line or a configuration is not valid.
+/// The exit code for an invalid command line or configuration.
 const EXIT_USAGE: u8 = 2;
 
-/// A commented file that a gateway starts with as it is.
+/// A commented example configuration that a gateway starts with unchanged.
 const EXAMPLE: &str = include_str!("../example.toml");
 
 fn main() -> ExitCode {
@@ -57,7 +57,8 @@
     }
 }
 
-/// Prints whether a gateway starts with a file, and as whose it was read.
+/// Prints whether a configuration file is valid, whether it was read as an operator's or as the platform's, and which
+/// keys were ignored.
 fn check_config(source: &Source) -> ExitCode {
     let path = source.path.display();
     let config = match source.read() {
@@ -78,7 +79,7 @@
     print(&text)
 }
 
-/// How a file of this origin was read.
+/// Describes how a file of this origin was read.
 fn read_as(origin: Origin) -> &'static str {
     match origin {
         Origin::Operator => {
@@ -90,7 +91,7 @@
     }
 }
 
-/// Prints the configuration as it was understood.
+/// Prints the effective configuration.
 fn show_config(source: &Source) -> ExitCode {
     match source.read() {
         Ok(config) => print(&format!("{:#}\n", config.effective())),
@@ -98,7 +99,7 @@
     }
 }
 
-/// Runs a command on the configuration that is named, or else on the platform's.
+/// Runs a command with the named configuration file, or else with the platform's.
 fn with_source(file: Option<PathBuf>, platform: bool, command: impl FnOnce(&Source) -> ExitCode) -> ExitCode {
     match cli::config_source(file, platform) {
         Ok(source) => command(&source),
@@ -106,13 +107,13 @@
     }
 }
 
-/// Prints each problem on a line of its own, and returns the exit code.
+/// Prints each problem on its own line to standard error, and returns the exit code for invalid usage.
 fn usage_error(problems: &[String]) -> ExitCode {
     problems.iter().for_each(|problem| eprintln!("lanespan: {problem}"));
     ExitCode::from(EXIT_USAGE)
 }
 
-/// Prints to standard output, whose reader may be gone.
+/// Prints to standard output. Fails without a panic if its reader has closed the pipe.
 fn print(text: &str) -> ExitCode {
     match std::io::stdout().write_all(text.as_bytes()) {
         Ok(()) => ExitCode::SUCCESS,
--- a/crates/lanespan/src/replication.rs
+++ b/crates/lanespan/src/replication.rs
@@ -1,5 +1,5 @@
-//! `lanespan fleet plan`, `voters` and `duties`: the replicated document of a running gateway, its voters and leases.
-//! Each exit code of a change is a constant here.
+//! `lanespan fleet plan`, `voters` and `duties`: shows and changes the fleet document of a running gateway, its voters
+//! and its leases. The constants list the exit codes of a change.
 
 use crate::cli::{PlanCommand, ProposeArgs, VotersCommand};
 use crate::{admin, print, usage_error};
@@ -11,26 +11,26 @@
 use std::net::SocketAddr;
 use std::process::ExitCode;
 
-/// Where a gateway shows the leases.
+/// The admin path of the leases.
 pub const LEASES_PATH: &str = "/fleet/duties";
-/// Where a gateway shows the document.
+/// The admin path of the fleet document.
 const DOCUMENT_PATH: &str = "/fleet/plan";
-/// Where a gateway shows the document's entries.
+/// The admin path of the document's retained entries.
 const HISTORY_PATH: &str = "/fleet/plan/history";
-/// Where a gateway takes proposals.
+/// The admin path for proposals.
 const PROPOSE_PATH: &str = "/fleet/plan/propose";
-/// Where a gateway takes changes of voters.
+/// The admin path for changes of the voters.
 const VOTERS_PATH: &str = "/fleet/plan/voters";
 
-/// The gateway can't be reached.
+/// The gateway can't be reached, or its response is not usable.
 const EXIT_UNREACHABLE: u8 = 1;
 /// The request is invalid.
 const EXIT_INVALID: u8 = 2;
 /// The proposal was rejected.
 const EXIT_REJECTED: u8 = 3;
-/// Another gateway decides.
+/// The gateway is not the leader.
 const EXIT_NOT_LEADER: u8 = 4;
-/// The proposal was not decided in time, and is to be sent again with the same id.
+/// The proposal was not decided in time. It has to be sent again with the same id, so that it is applied at most once.
 const EXIT_UNDECIDED: u8 = 5;
 
 /// Runs `lanespan fleet plan`.
@@ -74,6 +74,7 @@
     }
 }
 
+/// Runs `lanespan fleet plan propose`.
 fn propose(args: &ProposeArgs) -> ExitCode {
     let proposal = Proposal {
         id: args.id.unwrap_or_else(|| fastrand::u64(1..)),
@@ -95,6 +96,7 @@
     }
 }
 
+/// Sends a change to a gateway and reports the reply.
 fn request_change(address: SocketAddr, path: &str, body: &str) -> ExitCode {
     let body = match admin::call(address, "POST", path, body) {
         Ok((_, body)) => body,
@@ -106,35 +108,42 @@
     }
 }
 
-/// Reports a gateway's reply to a change, and maps it to the exit code.
+/// Prints a gateway's reply to a change and returns its exit code.
 fn report(reply: &Reply) -> ExitCode {
     match reply {
-        Reply::Decided(Verdict::Accepted(index)) => print(&format!("agreed: index {index}\n")),
-        Reply::Decided(Verdict::Duplicate(index)) => print(&format!("known: index {index}\n")),
-        Reply::Decided(Verdict::Rejected(rejection)) => fail(EXIT_REJECTED, &format!("refused: {rejection}")),
+        Reply::Decided(Verdict::Accepted(index)) => print(&format!("accepted: index {index}\n")),
+        Reply::Decided(Verdict::Duplicate(index)) => print(&format!("duplicate: index {index}\n")),
+        Reply::Decided(Verdict::Rejected(rejection)) => {
+            fail(EXIT_REJECTED, &format!("rejected: {rejection}"))
+        }
         Reply::Invalid(problem) => fail(EXIT_INVALID, problem),
         Reply::NotLeader(Some(VoterAddress { name, address })) => fail(
             EXIT_NOT_LEADER,
-            &format!("this gateway does not decide; ask {name}, whose plan is at {address}"),
+            &format!("this gateway is not the leader; ask {name}, whose replication address is {address}"),
         ),
         Reply::NotLeader(None) => {
-            fail(EXIT_NOT_LEADER, "this gateway does not decide, and knows of none that does")
+            fail(EXIT_NOT_LEADER, "this gateway is not the leader and knows of no leader")
         }
-        Reply::Busy => fail(EXIT_UNDECIDED, "busy; ask again"),
+        Reply::Busy => fail(EXIT_UNDECIDED, "the gateway is busy; send the change again"),
         Reply::Undecided(id) => fail(
             EXIT_UNDECIDED,
-            &format!("not decided in time, and may be yet; send it again with --id {id}"),
+            &format!(
+                "not decided in time, but may still be accepted; send the proposal again with --id {id}"
+            ),
         ),
-        Reply::Renewed(_) => fail(EXIT_UNREACHABLE, "not an answer to a proposal"),
+        Reply::Renewed(_) => {
+            fail(EXIT_UNREACHABLE, "expected the result of a proposal, found a lease renewal")
+        }
     }
 }
 
+/// Prints a problem to standard error and returns the exit code.
 fn fail(code: u8, problem: &str) -> ExitCode {
     eprintln!("lanespan: {problem}");
     ExitCode::from(code)
 }
 
-/// A JSON value as a table shows it.
+/// Formats a JSON value as a table cell; null becomes a dash.
 fn cell(value: &Value) -> String {
     match value {
         Value::Null => "-".to_string(),
@@ -143,6 +152,7 @@
     }
 }
 
+/// Formats the fleet document: the role of the gateway, the age of the last heartbeat, and one row per item.
 fn document_table(document: &Value) -> String {
     let mut text = String::new();
     let role = match (document["leads"].as_bool(), document["votes"].as_bool()) {
@@ -159,7 +169,7 @@
     }
     let heartbeat_age = document["news_age_s"].as_f64().unwrap_or_default();
     let trust = document["trust"].as_f64().unwrap_or_default();
-    let _ = writeln!(text, "news {heartbeat_age:.1} s ago, acted on by {trust:.2}");
+    let _ = writeln!(text, "last leader heartbeat {heartbeat_age:.1} s ago, trust {trust:.2}");
     let _ = writeln!(text, "\n{:<12} {:<20} {:>7} {:<10} value", "section", "key", "index", "token");
     for (section, items) in document["sections"].as_object().into_iter().flatten() {
         for (key, item) in items.as_object().into_iter().flatten() {
@@ -170,6 +180,7 @@
     text
 }
 
+/// Formats one row per retained entry of the fleet document.
 fn history_table(history: &Value) -> String {
     let mut text = format!(
         "{:>7} {:<10} {:<16} {:<12} {:<20} {:<14} value, reason\n",
@@ -188,14 +199,17 @@
     text
 }
 
-/// The items that changed after one index, up to another, as they are then.
+/// Lists the items that changed after index `from`, up to and including index `to`, each with its value at `to`.
 fn diff(history: &Value, from: u64, to: u64) -> Result<String, String> {
     let entries: Vec<&Value> = history["entries"].as_array().into_iter().flatten().collect();
     let index_of = |entry: &Value| entry["index"].as_u64().unwrap_or_default();
     let first = entries.first().map_or(0, |entry| index_of(entry));
     let last = entries.last().map_or(0, |entry| index_of(entry));
     if from + 1 < first || to > last {
-        return Err(format!("entries {first} to {last} are kept, not {} to {to}", from + 1));
+        return Err(format!(
+            "entries {first} to {last} are retained, but {} to {to} were requested",
+            from + 1
+        ));
     }
     let mut items = BTreeMap::new();
     for entry in entries.into_iter().filter(|entry| (from + 1..=to).contains(&index_of(entry))) {
@@ -211,7 +225,7 @@
     Ok(text)
 }
 
-/// Who holds which lease.
+/// Formats one row per lease.
 pub fn leases_table(leases: &Value) -> String {
     let mut text = format!("{:<12} {:<14} {:<10} held here\n", "duty", "holder", "token");
     for lease in leases["duties"].as_array().into_iter().flatten() {
--- a/crates/lanespan/src/status.rs
+++ b/crates/lanespan/src/status.rs
@@ -1,12 +1,12 @@
-//! `lanespan status`: the state of a running gateway, as tables for people.
+//! `lanespan status`: formats the state of a running gateway as tables.
 
 use serde_json::Value;
 use std::fmt::Write as _;
 
-/// Where a gateway shows its state.
+/// The admin path of the gateway's state.
 pub const STATE_PATH: &str = "/debug/state";
 
-/// The state as two tables: the gateway, and its backends.
+/// Formats the state as two tables: one of the gateway and one of its backends.
 pub fn table(state: &Value) -> String {
     let mut text = String::new();
     let (counter, pool, fleet) = (&state["counter"], &state["pool"], &state["fleet"]);
@@ -16,9 +16,9 @@
     };
     for (name, value) in [
         ("ready", flag(&state["ready"], "yes", "no")),
-        ("list told, s ago", number(&state["discovery_age_s"])),
+        ("endpoint list age, s", number(&state["discovery_age_s"])),
         ("breaker", flag(&counter["breaker_open"], "open", "closed")),
-        ("share that asks the counter", number(&counter["ask_share"])),
+        ("counter query share", number(&counter["ask_share"])),
         ("requests open", state["requests_open"].to_string()),
         ("requests held", state["requests_held"].to_string()),
         ("customers", state["customers"].to_string()),
@@ -33,12 +33,12 @@
     text + &backends_table(&state["backends"])
 }
 
-/// A number with two digits, or a dash where there is none.
+/// Formats a number with two decimals; any other value becomes a dash.
 fn number(value: &Value) -> String {
     value.as_f64().map_or("-".to_string(), |number| format!("{number:.2}"))
 }
 
-/// A word for true or false, or a dash where there is neither.
+/// Formats a boolean as one of two words; any other value becomes a dash.
 fn flag(value: &Value, if_true: &str, if_false: &str) -> String {
     match value.as_bool() {
         Some(true) => if_true.to_string(),
@@ -47,6 +47,7 @@
     }
 }
 
+/// Formats one row per backend.
 fn backends_table(backends: &Value) -> String {
     let mut text = String::new();
     // Writing to a String can't fail.
--- a/crates/lanespan/tests/plan.rs
+++ b/crates/lanespan/tests/plan.rs
@@ -193,7 +193,7 @@
         assert!(first.status.success(), "{}", text(&first));
         // The answer was lost, and it is sent again.
         let again = ask(&there, &propose("17", &["--id", "77"])).await;
-        assert!(text(&again).starts_with("known: index"), "{}", text(&again));
+        assert!(text(&again).starts_with("duplicate: index"), "{}", text(&again));
         let late = ask(&there, &propose("18", &["--expected", "0"])).await;
         assert_eq!(late.status.code(), Some(3), "{}", text(&late));
         let elsewhere = ask(&follower, &propose("18", &[])).await;
