--- a/crates/lanespan/tests/command.rs
+++ b/crates/lanespan/tests/command.rs
@@ -1,4 +1,4 @@
-//! The command line and the configuration, as an operator meets them.
+//! The command line and the configuration: exit codes, error lines and reloads.
 #[path = "sockets/harness.rs"]
 mod harness;
 
@@ -7,58 +7,59 @@
 use std::path::PathBuf;
 use std::process::{Command, Output};
 
-/// The command with these words, told nothing by the environment.
-fn lanespan(words: &[&str]) -> Output {
+/// Runs the command with these arguments and without the gateway's environment variables.
+fn lanespan(args: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_lanespan"));
     ["NODE_CONFIG", "NODE_LISTEN", "NODE_DISCOVERY", "NODE_NAME", "LANESPAN_NAMES"].iter().for_each(|name| {
         command.env_remove(name);
     });
-    command.args(words).output().expect("it runs")
+    command.args(args).output().expect("the command runs")
 }
 
 fn text(bytes: Vec<u8>) -> String {
-    String::from_utf8(bytes).expect("text")
+    String::from_utf8(bytes).expect("UTF-8 text")
 }
 
-/// A file of these bytes.
-fn bytes(name: &str, bytes: &[u8]) -> PathBuf {
+/// Writes a file with this content and returns its path.
+fn file_with(name: &str, content: &[u8]) -> PathBuf {
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{}-{name}", std::process::id()));
-    std::fs::write(&path, bytes).expect("written");
+    std::fs::write(&path, content).expect("the file is written");
     path
 }
 
-/// What `config check` says of a configuration: its exit code, and its lines.
+/// Runs `config check` on a configuration; returns the exit code and the error lines without the path.
 fn check(config: &str) -> (Option<i32>, Vec<String>) {
     let path = config_file(config);
-    let done = lanespan(&["config", "check", path.to_str().expect("a plain path")]);
-    let place = format!("lanespan: {}: ", path.display());
-    let lines = text(done.stderr);
-    (done.status.code(), lines.lines().map(|line| line.replace(&place, "")).collect())
+    let output = lanespan(&["config", "check", path.to_str().expect("a UTF-8 path")]);
+    let prefix = format!("lanespan: {}: ", path.display());
+    let stderr = text(output.stderr);
+    (output.status.code(), stderr.lines().map(|line| line.replace(&prefix, "")).collect())
 }
 
-fn good() -> Value {
-    let nowhere = "127.0.0.1:1".parse().expect("an address");
-    serde_json::from_str(&config(nowhere, nowhere)).expect("JSON")
+/// Returns a valid configuration whose addresses are never used.
+fn valid_config() -> Value {
+    let unused = "127.0.0.1:1".parse().expect("an address");
+    serde_json::from_str(&config(unused, unused)).expect("JSON")
 }
 
-/// The same with one value set, by its dotted path.
-fn with(path: &str, value: Value) -> Value {
-    let mut config = good();
-    let mut at = &mut config;
+/// Returns the valid configuration with one value set, by its dotted path.
+fn config_with(path: &str, value: Value) -> Value {
+    let mut config = valid_config();
+    let mut target = &mut config;
     for key in path.split('.') {
-        at = at.as_object_mut().expect("a section").entry(key).or_insert(json!({}));
+        target = target.as_object_mut().expect("a section").entry(key).or_insert(json!({}));
     }
-    *at = value;
+    *target = value;
     config
 }
 
 #[test]
-fn every_key_of_every_section_that_is_wrong_is_named_with_its_value_and_what_is_allowed() {
-    assert_eq!(check(&good().to_string()), (Some(0), vec![]));
+fn invalid_value_of_each_key_is_reported_with_the_expected_and_found_value() {
+    assert_eq!(check(&valid_config().to_string()), (Some(0), vec![]));
     let schema = lanespan(&["config", "schema"]);
     let schema: Value = serde_json::from_slice(&schema.stdout).expect("JSON");
-    let mut seen = 0;
-    for (section, place) in [
+    let mut checked_keys = 0;
+    for (section, prefix) in [
         ("Limits", "limits"),
         ("PoolSection", "pool"),
         ("StreamingSection", "streaming"),
@@ -66,35 +67,35 @@
     ] {
         let keys = schema["$defs"][section]["properties"].as_object().expect("keys");
         for key in keys.keys() {
-            let path = format!("{place}.{key}");
-            let (code, told) = check(&with(&path, json!("wrong")).to_string());
-            assert_eq!((code, told.len()), (Some(2), 1), "{path}: {told:?}");
-            assert!(told[0].starts_with(&format!("{path}: ")), "{told:?}");
-            assert!(told[0].contains("expected") && told[0].ends_with("found \"wrong\""), "{told:?}");
-            seen += 1;
+            let path = format!("{prefix}.{key}");
+            let (code, lines) = check(&config_with(&path, json!("wrong")).to_string());
+            assert_eq!((code, lines.len()), (Some(2), 1), "{path}: {lines:?}");
+            assert!(lines[0].starts_with(&format!("{path}: ")), "{lines:?}");
+            assert!(lines[0].contains("expected") && lines[0].ends_with("found \"wrong\""), "{lines:?}");
+            checked_keys += 1;
         }
     }
-    assert_eq!(seen, 3 + 14 + 5 + 3);
+    assert_eq!(checked_keys, 3 + 14 + 5 + 3);
     for key in
         ["listen", "discovery", "counter", "seed", "name", "limits", "pool", "streaming", "admin", "known"]
     {
-        let (code, told) = check(&with(key, json!(7)).to_string());
-        assert_eq!((code, told.len()), (Some(2), 1), "{key}: {told:?}");
-        assert!(told[0].starts_with(&format!("{key}: ")) && told[0].ends_with("found 7"), "{told:?}");
+        let (code, lines) = check(&config_with(key, json!(7)).to_string());
+        assert_eq!((code, lines.len()), (Some(2), 1), "{key}: {lines:?}");
+        assert!(lines[0].starts_with(&format!("{key}: ")) && lines[0].ends_with("found 7"), "{lines:?}");
     }
 }
 
 #[test]
-fn all_problems_are_told_at_once_and_a_typo_with_the_nearest_key() {
-    let mut config = with("pool.wiat_ms", json!(3));
+fn all_problems_are_reported_at_once_with_a_suggestion_for_a_typo() {
+    let mut config = config_with("pool.wiat_ms", json!(3));
     config["limits"]["memory_mb"] = json!(-4);
     config["steaming"] = json!({});
     config["settings"]["classes"][1]["deadline"] = json!("soon");
     config["settings"]["plans"][0]["price"] = json!("much");
     config["pool"]["links"] = json!(900);
-    let (code, told) = check(&config.to_string());
+    let (code, lines) = check(&config.to_string());
     assert_eq!(code, Some(2));
-    for line in [
+    for part in [
         "pool.wiat_ms: unknown; known are links, ",
         "; did you mean 'wait_ms'?",
         "limits.memory_mb: expected a whole number from 1 to 1000000, found -4",
@@ -102,14 +103,14 @@
         "; did you mean 'streaming'?",
         "settings: classes.1.deadline: expected a whole number, found 'soon'",
     ] {
-        assert!(told.iter().any(|told| told.contains(line)), "{line}: {told:#?}");
+        assert!(lines.iter().any(|line| line.contains(part)), "{part}: {lines:#?}");
     }
-    assert!(!told.iter().any(|line| line.contains('\n')) && told.len() >= 4, "{told:#?}");
+    assert!(!lines.iter().any(|line| line.contains('\n')) && lines.len() >= 4, "{lines:#?}");
 }
 
 #[test]
-fn a_fleet_section_that_makes_no_sense_is_told_with_key_and_value() {
-    for (section, told) in [
+fn invalid_fleet_section_is_reported_with_key_and_value() {
+    for (section, expected) in [
         (json!({"probe_ms": 10}), "fleet.probe_ms: expected 50 or more, found 10"),
         (json!({"most": 1}), "fleet.most: expected settings.balancers, 2, or more, found 1"),
         (
@@ -120,24 +121,24 @@
         (json!({"cluster": 3}), "fleet.cluster: "),
         (json!({"joins": []}), "fleet.joins: unknown; known are listen, "),
     ] {
-        let (code, lines) = check(&with("fleet", section).to_string());
+        let (code, lines) = check(&config_with("fleet", section).to_string());
         assert_eq!((code, lines.len()), (Some(2), 1), "{lines:?}");
-        assert!(lines[0].contains(told), "{told}: {lines:?}");
+        assert!(lines[0].contains(expected), "{expected}: {lines:?}");
     }
-    // One problem of the plan each, in a site of three zones; the file's gateway is none of the voters.
+    // Each case has one problem of the plan section, in a site of three zones. The gateway is not one of the voters.
     let voter = |zone: &str, port: u16| json!({ "zone": zone, "address": format!("127.0.0.1:{port}") });
-    let sound = json!({ "v0": voter("a", 1), "v1": voter("b", 2), "v2": voter("c", 3) });
-    let one = |key: &str, value: Value| {
-        let mut plan = json!({ "voters": sound });
+    let valid_voters = json!({ "v0": voter("a", 1), "v1": voter("b", 2), "v2": voter("c", 3) });
+    let config_with_plan = |key: &str, value: Value| {
+        let mut plan = json!({ "voters": valid_voters });
         plan[key] = value;
-        let mut file = with("fleet", json!({ "plan": plan }));
+        let mut file = config_with("fleet", json!({ "plan": plan }));
         file["settings"]["zones"] = json!(["a", "b", "c"]);
         file["settings"]["zone"] = json!("a");
         file
     };
-    let (code, lines) = check(&one("tick_ms", json!(100)).to_string());
+    let (code, lines) = check(&config_with_plan("tick_ms", json!(100)).to_string());
     assert_eq!(code, Some(0), "{lines:?}");
-    for (key, value, told) in [
+    for (key, value, expected) in [
         (
             "voters",
             json!({ "v0": voter("a", 1), "v1": voter("b", 2) }),
@@ -167,79 +168,83 @@
         ),
         ("ticks", json!(5), "ticks: unknown; known are listen, "),
     ] {
-        let (code, lines) = check(&one(key, value).to_string());
+        let (code, lines) = check(&config_with_plan(key, value).to_string());
         assert_eq!((code, lines.len()), (Some(2), 1), "{lines:?}");
-        assert!(lines[0].contains(&format!("fleet.plan.{told}")), "{told}: {lines:?}");
+        assert!(lines[0].contains(&format!("fleet.plan.{expected}")), "{expected}: {lines:?}");
     }
-    let mut voting = one("tick_ms", json!(100));
-    voting["name"] = json!("v0");
-    let (code, lines) = check(&voting.to_string());
+    let mut voter_without_directory = config_with_plan("tick_ms", json!(100));
+    voter_without_directory["name"] = json!("v0");
+    let (code, lines) = check(&voter_without_directory.to_string());
     assert!(code == Some(2) && lines[0].contains("fleet.plan.directory: must be there"), "{lines:?}");
-    let mut nameless = with("fleet", json!({}));
+    let mut nameless = config_with("fleet", json!({}));
     nameless["name"] = json!("");
     let (code, lines) = check(&nameless.to_string());
     assert!(code == Some(2) && lines[0].contains("fleet: expected a name"), "{lines:?}");
 }
 
-/// Places in the settings with what stands there (`None`: nothing), and what is said of each.
-type WrongSite = (Vec<(&'static str, Option<Value>)>, Vec<&'static str>);
+/// JSON pointers into the settings with the new value (`None`: removed), and the expected error lines.
+type InvalidSite = (Vec<(&'static str, Option<Value>)>, Vec<&'static str>);
 
-/// Sites whose settings are wrong.
-fn wrong_sites() -> Vec<WrongSite> {
-    let one = |pointer, value, line| (vec![(pointer, value)], vec![line]);
+/// Returns changes that make the settings invalid, with the expected error lines.
+fn invalid_sites() -> Vec<InvalidSite> {
+    let single = |pointer, value, line| (vec![(pointer, value)], vec![line]);
     vec![
-        one(
+        single(
             "/classes/1/name",
             Some(json!("look")),
             "classes.1.name: expected another name than classes.0.name has, found 'look'",
         ),
-        one(
+        single(
             "/plans/1/name",
             Some(json!("team")),
             "plans.1.name: expected another name than plans.0.name has, found 'team'",
         ),
-        one("/classes/0/name", None, "classes.0.name: expected a value, found nothing"),
-        one(
+        single("/classes/0/name", None, "classes.0.name: expected a value, found nothing"),
+        single(
             "/classes/2/effect",
             Some(json!("maybe")),
             "classes.2.effect: expected pure, token, side_effect, found 'maybe'",
         ),
-        one("/classes/2/effect", None, "classes.2.effect: expected pure, token, side_effect, found nothing"),
-        one(
+        single(
+            "/classes/2/effect",
+            None,
+            "classes.2.effect: expected pure, token, side_effect, found nothing",
+        ),
+        single(
             "/classes/1/key_scope",
             Some(json!("city")),
             "classes.1.key_scope: expected all, zone, cell, found 'city'",
         ),
-        one("/classes/1/window", Some(json!(0)), "classes.1.window: expected a number above 0, found '0'"),
-        one(
+        single("/classes/1/window", Some(json!(0)), "classes.1.window: expected a number above 0, found '0'"),
+        single(
             "/classes/0/deadline",
             Some(json!(0)),
             "classes.0.deadline: expected a number above 0, found '0'",
         ),
-        one("/classes/0/deadline", None, "classes.0.deadline: expected a number above 0, found nothing"),
-        one("/classes", Some(json!([])), "classes: expected at least one, found none"),
-        one("/plans", None, "plans: expected at least one, found none"),
-        one("/plans/0/per_second", None, "plans.0.per_second: expected a value, found nothing"),
-        one(
+        single("/classes/0/deadline", None, "classes.0.deadline: expected a number above 0, found nothing"),
+        single("/classes", Some(json!([])), "classes: expected at least one, found none"),
+        single("/plans", None, "plans: expected at least one, found none"),
+        single("/plans/0/per_second", None, "plans.0.per_second: expected a value, found nothing"),
+        single(
             "/plans/0/peak_units",
             Some(json!(0)),
             "plans.0.peak_units: expected a number above 0, found '0'",
         ),
-        one("/balancers", None, "balancers: expected a number above 0, found nothing"),
-        one("/my_number", None, "my_number: expected a value, found nothing"),
-        one(
+        single("/balancers", None, "balancers: expected a number above 0, found nothing"),
+        single("/my_number", None, "my_number: expected a value, found nothing"),
+        single(
             "/bounds/max_attempts",
             Some(json!(0)),
             "bounds.max_attempts: expected a number above 0, found '0'",
         ),
-        one("/specifics/counter", None, "specifics.counter: expected a value, found nothing"),
-        one(
+        single("/specifics/counter", None, "specifics.counter: expected a value, found nothing"),
+        single(
             "/specifics/count_limit",
             Some(json!(0)),
             "specifics.count_limit: expected a number above 0, found '0'",
         ),
-        one("/specifics/units_top", None, "specifics.units_top: expected a number above 0, found nothing"),
-        // All at once, a line each.
+        single("/specifics/units_top", None, "specifics.units_top: expected a number above 0, found nothing"),
+        // Several problems are reported at once, one per line.
         (
             vec![
                 ("/classes/0/deadline", Some(json!(0))),
@@ -255,34 +260,34 @@
     ]
 }
 
-/// The settings with these changes.
-fn site(changes: &[(&str, Option<Value>)]) -> Value {
-    let mut config = good();
+/// Returns the valid configuration with these changes of its settings.
+fn config_with_site(changes: &[(&str, Option<Value>)]) -> Value {
+    let mut config = valid_config();
     for (pointer, value) in changes {
-        let (holder, key) = pointer.rsplit_once('/').expect("a pointer");
-        let holder = config.pointer_mut(&format!("/settings{holder}")).expect("it is there");
-        match (holder, value) {
+        let (parent, key) = pointer.rsplit_once('/').expect("a pointer");
+        let parent = config.pointer_mut(&format!("/settings{parent}")).expect("the parent exists");
+        match (parent, value) {
             (Value::Array(items), Some(value)) => {
-                items[key.parse::<usize>().expect("a place")] = value.clone()
+                items[key.parse::<usize>().expect("an array index")] = value.clone()
             }
             (Value::Object(fields), Some(value)) => drop(fields.insert(key.to_string(), value.clone())),
             (Value::Object(fields), None) => drop(fields.remove(key)),
-            (holder, _) => panic!("{pointer}: {holder}"),
+            (parent, _) => panic!("{pointer}: {parent}"),
         }
     }
     config
 }
 
 #[test]
-fn a_site_that_makes_no_sense_is_told_key_by_key_with_its_values() {
-    for (changes, lines) in wrong_sites() {
-        let wanted: Vec<String> = lines.iter().map(|line| format!("settings: {line}")).collect();
-        assert_eq!(check(&site(&changes).to_string()), (Some(2), wanted), "{changes:?}");
+fn invalid_site_reports_each_key_with_its_value() {
+    for (changes, lines) in invalid_sites() {
+        let expected: Vec<String> = lines.iter().map(|line| format!("settings: {line}")).collect();
+        assert_eq!(check(&config_with_site(&changes).to_string()), (Some(2), expected), "{changes:?}");
     }
 }
 
 #[test]
-fn at_sighup_a_site_that_makes_no_sense_is_told_and_all_stays_as_it_was() {
+fn reload_of_an_invalid_site_is_reported_and_changes_nothing() {
     let backend = Stub::start(|_| http("200 OK", "ok"));
     let discovery = Discovery::start(&member("s-1", backend.address, "ready"));
     let counter = counter();
@@ -290,10 +295,10 @@
     let path = config_file(&text);
     let node = Node::spawn(operator_command_from(&path));
     node.wait_ready();
-    for (changes, lines) in wrong_sites() {
-        let mut wrong: Value = serde_json::from_str(&text).expect("JSON");
-        wrong["settings"] = site(&changes)["settings"].clone();
-        std::fs::write(&path, wrong.to_string()).expect("written");
+    for (changes, lines) in invalid_sites() {
+        let mut invalid: Value = serde_json::from_str(&text).expect("JSON");
+        invalid["settings"] = config_with_site(&changes)["settings"].clone();
+        std::fs::write(&path, invalid.to_string()).expect("the file is written");
         node.signal("HUP");
         for line in lines {
             node.wait_for_line(line);
@@ -303,92 +308,95 @@
 }
 
 #[test]
-fn files_that_are_no_configuration_are_told_in_one_line() {
+fn unreadable_configuration_files_are_reported_in_one_line() {
     let missing = PathBuf::from("/nonexistent/lanespan.toml");
-    for (path, line) in [
+    for (path, problem) in [
         (missing, "No such file"),
         (PathBuf::from("/"), "directory"),
-        (bytes("empty.json", b" \n"), "empty"),
-        (bytes("latin.json", b"{\"name\":\"\xe9\"}"), "not UTF-8"),
-        (bytes("cut.json", b"{\"name\":"), "EOF"),
-        (bytes("cut.toml", b"name = \n"), "TOML parse error"),
-        (bytes("list.json", b"[]"), "the file: "),
-        (bytes("huge.json", &vec![b' '; (32 << 20) + 1]), "longer than 32 MiB"),
+        (file_with("empty.json", b" \n"), "empty"),
+        (file_with("latin.json", b"{\"name\":\"\xe9\"}"), "not UTF-8"),
+        (file_with("cut.json", b"{\"name\":"), "EOF"),
+        (file_with("cut.toml", b"name = \n"), "TOML parse error"),
+        (file_with("list.json", b"[]"), "the file: "),
+        (file_with("huge.json", &vec![b' '; (32 << 20) + 1]), "longer than 32 MiB"),
     ] {
-        let done = lanespan(&["run", "--config", path.to_str().expect("a plain path")]);
-        let told = text(done.stderr);
-        assert_eq!(done.status.code(), Some(2), "{told}");
-        assert!(told.lines().next().is_some_and(|first| first.contains(line)), "{line}: {told}");
-        assert!(told.starts_with(&format!("lanespan: {}: ", path.display())), "{told}");
+        let output = lanespan(&["run", "--config", path.to_str().expect("a UTF-8 path")]);
+        let stderr = text(output.stderr);
+        assert_eq!(output.status.code(), Some(2), "{stderr}");
+        assert!(stderr.lines().next().is_some_and(|first| first.contains(problem)), "{problem}: {stderr}");
+        assert!(stderr.starts_with(&format!("lanespan: {}: ", path.display())), "{stderr}");
     }
 }
 
 #[test]
-fn wrong_usage_ends_with_2_and_help_shows_examples() {
-    for words in [&["run"][..], &["walk"], &["config", "check"], &[]] {
-        let done = lanespan(words);
-        assert_eq!(done.status.code(), Some(2), "{words:?}");
-        assert!(!done.stderr.is_empty(), "{words:?}");
+fn invalid_usage_exits_with_2_and_help_shows_examples() {
+    for args in [&["run"][..], &["walk"], &["config", "check"], &[]] {
+        let output = lanespan(args);
+        assert_eq!(output.status.code(), Some(2), "{args:?}");
+        assert!(!output.stderr.is_empty(), "{args:?}");
     }
-    for words in [&["--help"][..], &["run", "--help"], &["config", "check", "--help"]] {
-        let done = lanespan(words);
-        assert_eq!(done.status.code(), Some(0));
-        assert!(text(done.stdout).contains("Example"), "{words:?}");
+    for args in [&["--help"][..], &["run", "--help"], &["config", "check", "--help"]] {
+        let output = lanespan(args);
+        assert_eq!(output.status.code(), Some(0));
+        assert!(text(output.stdout).contains("Example"), "{args:?}");
     }
     assert!(text(lanespan(&["--version"]).stdout).starts_with("lanespan "));
     assert!(text(lanespan(&["completions", "bash"]).stdout).contains("config"));
     let mut command = Command::new(env!("CARGO_BIN_EXE_lanespan"));
-    let done =
-        command.args(["run", "--config", "x"]).env("NODE_LISTEN", "nowhere").output().expect("it runs");
-    assert_eq!(done.status.code(), Some(2));
-    assert!(text(done.stderr).contains("NODE_LISTEN: expected an address and a port, found 'nowhere'"));
+    let output = command
+        .args(["run", "--config", "x"])
+        .env("NODE_LISTEN", "nowhere")
+        .output()
+        .expect("the command runs");
+    assert_eq!(output.status.code(), Some(2));
+    assert!(text(output.stderr).contains("NODE_LISTEN: expected an address and a port, found 'nowhere'"));
 }
 
 #[test]
-fn the_example_starts_as_it_is_and_answers_plainly() {
+fn example_configuration_starts_unchanged_and_rejects_requests() {
     let example = text(lanespan(&["config", "example"]).stdout);
-    let path = bytes("example.toml", example.as_bytes());
-    let path = path.to_str().expect("a plain path");
+    let path = file_with("example.toml", example.as_bytes());
+    let path = path.to_str().expect("a UTF-8 path");
     assert_eq!(lanespan(&["config", "check", path]).status.code(), Some(0));
-    let shown: Value = serde_json::from_slice(&lanespan(&["config", "show", path]).stdout).expect("JSON");
-    assert_eq!((&shown["pool"]["links"], &shown["streaming"]), (&json!(256), &Value::Null));
+    let effective: Value = serde_json::from_slice(&lanespan(&["config", "show", path]).stdout).expect("JSON");
+    assert_eq!((&effective["pool"]["links"], &effective["streaming"]), (&json!(256), &Value::Null));
     let mut command = operator_command_from(path.as_ref());
-    // Ports of the system's, with nobody behind the others.
+    // Listens on a port that the system picks; discovery and the counter are not reachable.
     command.env("NODE_LISTEN", "127.0.0.1:0").env("NODE_DISCOVERY", "127.0.0.1:1");
     let mut node = Node::spawn(command);
-    let told = node
+    let response = node
         .client()
         .exchange(&request("look", 4000).replace("look", "lookup").replace("spread=2", "spread=1"));
-    assert_eq!(told.status(), 429, "{told:?}");
-    assert!(node.wait_for_line("discovery").contains("WARN"), "it says why");
+    assert_eq!(response.status(), 429, "{response:?}");
+    assert!(node.wait_for_line("discovery").contains("WARN"), "the log names the cause");
     node.signal("TERM");
     assert_eq!(node.wait_for_exit(), Some(0));
 }
 
 #[test]
-fn a_port_in_use_is_a_failure_in_one_line() {
-    let taken = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = taken.local_addr().expect("bound");
-    let config = with("listen", json!(address));
-    let done = operator_command(&config.to_string()).output().expect("it runs");
-    let told = text(done.stderr);
-    assert_eq!(done.status.code(), Some(1), "{told}");
-    let told: Vec<&str> = told.lines().filter(|line| line.starts_with("lanespan: ")).collect();
-    assert!(told.len() == 1 && told[0].contains(&address.to_string()), "{told:?}");
+fn port_in_use_is_reported_in_one_line() {
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
+    let address = listener.local_addr().expect("bound");
+    let config = config_with("listen", json!(address));
+    let output = operator_command(&config.to_string()).output().expect("the command runs");
+    let stderr = text(output.stderr);
+    assert_eq!(output.status.code(), Some(1), "{stderr}");
+    let errors: Vec<&str> = stderr.lines().filter(|line| line.starts_with("lanespan: ")).collect();
+    assert!(errors.len() == 1 && errors[0].contains(&address.to_string()), "{errors:?}");
 }
 
 #[test]
-fn sighup_names_what_needs_a_restart() {
+fn reload_names_the_sections_that_need_a_restart() {
     let (discovery, counter) = (Discovery::start(""), counter());
-    let first = config(discovery.stub.address, counter.address);
-    let path = config_file(&first);
+    let original = config(discovery.stub.address, counter.address);
+    let path = config_file(&original);
     let node = Node::spawn(operator_command_from(&path));
-    let mut second: Value = serde_json::from_str(&first).expect("JSON");
-    second["limits"]["sockets"] = json!(512);
-    second["settings"]["balancers"] = json!(3);
-    second["pool"] = json!({"wait_ms": 20});
-    second["fleet"] = json!({});
-    std::fs::write(&path, second.to_string()).expect("written");
+    let mut changed: Value = serde_json::from_str(&original).expect("JSON");
+    changed["limits"]["sockets"] = json!(512);
+    changed["settings"]["balancers"] = json!(3);
+    changed["pool"] = json!({"wait_ms": 20});
+    changed["fleet"] = json!({});
+    std::fs::write(&path, changed.to_string()).expect("the file is written");
     node.signal("HUP");
     let line = node.wait_for_line("needs a restart");
     assert!(line.contains("limits, fleet, settings") && !line.contains("pool"), "{line}");
--- a/crates/lanespan/tests/outside_names.rs
+++ b/crates/lanespan/tests/outside_names.rs
@@ -12,45 +12,46 @@
 use std::process::Command;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// Compares with what is recorded, by lines.
+/// Compares the found names with the lines of a fixture.
 fn compare(found: &BTreeSet<String>, recorded: &str) {
     let recorded: BTreeSet<String> = recorded.lines().map(str::to_string).collect();
-    let gone: Vec<&String> = recorded.difference(found).collect();
+    let missing: Vec<&String> = recorded.difference(found).collect();
     let new: Vec<&String> = found.difference(&recorded).collect();
-    assert!(gone.is_empty() && new.is_empty(), "gone: {gone:#?}\nnew: {new:#?}");
+    assert!(missing.is_empty() && new.is_empty(), "missing: {missing:#?}\nnew: {new:#?}");
 }
 
-/// What the command prints, told nothing by the environment.
-fn lanespan(words: &[&str]) -> String {
+/// Runs the command with these arguments and an empty environment, and returns its output.
+fn lanespan(args: &[&str]) -> String {
     let mut command = Command::new(env!("CARGO_BIN_EXE_lanespan"));
-    let done = command.args(words).env_clear().output().expect("it runs");
-    assert!(done.status.success(), "{words:?}");
-    String::from_utf8(done.stdout).expect("text")
+    let output = command.args(args).env_clear().output().expect("the command runs");
+    assert!(output.status.success(), "{args:?}");
+    String::from_utf8(output.stdout).expect("UTF-8 text")
 }
 
-/// The names in one section of a help text, `Commands:` say, with the value that each takes.
-fn section<'a>(help: &'a str, title: &'a str) -> impl Iterator<Item = String> + 'a {
+/// Returns the entries of one section of a help text, such as `Commands:`, each with the value that it takes.
+fn help_section<'a>(help: &'a str, title: &'a str) -> impl Iterator<Item = String> + 'a {
     let lines = help.lines().skip_while(move |line| *line != title).skip(1);
     let entries = lines.take_while(|line| !line.is_empty()).filter(|line| {
-        // What continues an entry is indented further.
+        // Continuation lines of an entry are indented further.
         line.len() - line.trim_start().len() <= 6 && !line.trim().is_empty()
     });
     entries.map(|line| line.trim().split("  ").next().unwrap_or_default().to_string())
 }
 
-/// A command, its arguments and options, and all commands below it.
-fn commands(path: &mut Vec<String>, found: &mut BTreeSet<String>) {
-    let words: Vec<&str> = path.iter().map(String::as_str).chain(["--help"]).collect();
-    let help = lanespan(&words);
+/// Collects a command, its arguments and options, and all its subcommands.
+fn collect_commands(path: &mut Vec<String>, found: &mut BTreeSet<String>) {
+    let args: Vec<&str> = path.iter().map(String::as_str).chain(["--help"]).collect();
+    let help = lanespan(&args);
     let name = [&["lanespan".to_string()], &path[..]].concat().join(" ");
     found.insert(name.clone());
     for title in ["Arguments:", "Options:"] {
-        found.extend(section(&help, title).map(|entry| format!("{name} {entry}")));
+        found.extend(help_section(&help, title).map(|entry| format!("{name} {entry}")));
     }
-    let below: Vec<String> = section(&help, "Commands:").filter(|command| command != "help").collect();
-    for command in below {
+    let subcommands: Vec<String> =
+        help_section(&help, "Commands:").filter(|command| command != "help").collect();
+    for command in subcommands {
         path.push(command);
-        commands(path, found);
+        collect_commands(path, found);
         path.pop();
     }
 }
@@ -58,49 +59,52 @@
 #[test]
 fn commands_arguments_and_options_have_the_recorded_names() {
     let mut found = BTreeSet::new();
-    commands(&mut Vec::new(), &mut found);
+    collect_commands(&mut Vec::new(), &mut found);
     compare(&found, include_str!("fixtures/commands.txt"));
 }
 
 #[test]
-fn the_recorded_environment_variables_are_read() {
+fn recorded_environment_variables_are_read() {
     let backend = SocketAddr::from(([127, 0, 0, 1], 1));
     let path = config_file(&config(backend, backend));
     let path = path.to_str().expect("text");
     let show = |variable: &str, value: &str| {
         let mut command = Command::new(env!("CARGO_BIN_EXE_lanespan"));
         command.args(["config", "show"]).env_clear().env("NODE_CONFIG", path).env(variable, value);
-        let done = command.output().expect("it runs");
-        (done.status.code(), String::from_utf8([done.stdout, done.stderr].concat()).expect("text"))
+        let output = command.output().expect("the command runs");
+        (
+            output.status.code(),
+            String::from_utf8([output.stdout, output.stderr].concat()).expect("UTF-8 text"),
+        )
     };
     for variable in include_str!("fixtures/environment.txt").lines() {
-        let (usual, told) = (show("UNHEARD_OF", "x"), show(variable, "an odd value"));
-        assert_eq!(usual.0, Some(0), "{}", usual.1);
-        assert_ne!(usual, told, "{variable} changes nothing");
-        assert!(told.1.contains("an odd value"), "{variable}: {}", told.1);
+        let (baseline, output) = (show("UNKNOWN_VARIABLE", "x"), show(variable, "an invalid value"));
+        assert_eq!(baseline.0, Some(0), "{}", baseline.1);
+        assert_ne!(baseline, output, "{variable} has no effect");
+        assert!(output.1.contains("an invalid value"), "{variable}: {}", output.1);
     }
 }
 
-/// The keys of a schema, each with its default and what it may be.
-fn keys(schema: &Value, root: &Value, prefix: &str, found: &mut BTreeSet<String>) {
+/// Collects the keys of a JSON schema, each with its default, type and bounds.
+fn collect_keys(schema: &Value, root: &Value, prefix: &str, found: &mut BTreeSet<String>) {
     if let Some(name) = schema["$ref"].as_str().and_then(|to| to.strip_prefix("#/$defs/")) {
-        keys(&root["$defs"][name], root, prefix, found);
+        collect_keys(&root["$defs"][name], root, prefix, found);
     }
     for part in schema["anyOf"].as_array().into_iter().flatten() {
-        keys(part, root, prefix, found);
+        collect_keys(part, root, prefix, found);
     }
     for (name, property) in schema["properties"].as_object().into_iter().flatten() {
         let key = if prefix.is_empty() { name.clone() } else { format!("{prefix}.{name}") };
-        let bounds: Vec<String> = ["default", "type", "minimum", "maximum", "enum"]
+        let attributes: Vec<String> = ["default", "type", "minimum", "maximum", "enum"]
             .iter()
-            .filter_map(|of| property.get(of).map(|value| format!("{of}={value}")))
+            .filter_map(|attribute| property.get(attribute).map(|value| format!("{attribute}={value}")))
             .collect();
-        found.insert(format!("{key} {}", bounds.join(" ")).trim_end().to_string());
-        keys(property, root, &key, found);
+        found.insert(format!("{key} {}", attributes.join(" ")).trim_end().to_string());
+        collect_keys(property, root, &key, found);
     }
-    for of in ["items", "additionalProperties"] {
-        if schema[of].is_object() {
-            keys(&schema[of], root, &format!("{prefix}[]"), found);
+    for child in ["items", "additionalProperties"] {
+        if schema[child].is_object() {
+            collect_keys(&schema[child], root, &format!("{prefix}[]"), found);
         }
     }
 }
@@ -109,17 +113,17 @@
 fn configuration_keys_have_the_recorded_names_and_defaults() {
     let schema: Value = serde_json::from_str(&lanespan(&["config", "schema"])).expect("JSON");
     let mut found = BTreeSet::new();
-    keys(&schema, &schema, "", &mut found);
+    collect_keys(&schema, &schema, "", &mut found);
     compare(&found, include_str!("fixtures/config-keys.txt"));
 }
 
-/// A gateway of a fleet of two, of which the first alone votes on what they act on.
+/// A running gateway of the fleet, with its admin address.
 struct Member {
     node: Node,
     admin: SocketAddr,
 }
 
-/// Ports that are free now.
+/// Returns a free UDP port and a free TCP port. Another process may take them before they are used.
 fn free_ports() -> (u16, u16) {
     let udp = UdpSocket::bind("127.0.0.1:0").and_then(|socket| socket.local_addr());
     let tcp = TcpListener::bind("127.0.0.1:0").and_then(|listener| listener.local_addr());
@@ -130,6 +134,7 @@
     format!("127.0.0.1:{port}")
 }
 
+/// Starts a gateway with this `fleet` section and waits until it is ready.
 fn start(name: &str, config: &str, fleet: Value) -> Member {
     let mut config: Value = serde_json::from_str(config).expect("JSON");
     config["name"] = json!(name);
@@ -144,54 +149,57 @@
     Member { node, admin }
 }
 
-/// Two gateways that know of each other and act on one plan, and what they stand before.
+/// Starts a fleet of two gateways, of which the first is the only voter, with a backend, discovery and a counter.
 fn fleet() -> (Member, Member, (Stub, Discovery, Stub)) {
     let backend = Stub::start(|_| http("200 OK", "ok"));
     let discovery = Discovery::start(&member("s-1", backend.address, "ready"));
     let counter = counter();
     let config = config(discovery.stub.address, counter.address);
-    let (ports, others) = (free_ports(), free_ports());
-    let voters = json!({"n0": {"zone": "a", "address": address(ports.1)}});
+    let (first_ports, second_ports) = (free_ports(), free_ports());
+    let voters = json!({"n0": {"zone": "a", "address": address(first_ports.1)}});
     static NEXT: AtomicUsize = AtomicUsize::new(0);
     let name = format!("names-{}-{}", std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
     let directory = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::create_dir_all(&directory).expect("a directory");
-    let section = |ports: (u16, u16), join: Value, directory: Option<PathBuf>| {
+    let fleet_section = |first_ports: (u16, u16), join: Value, directory: Option<PathBuf>| {
         json!({
-            "listen": address(ports.0), "join": join, "probe_ms": 100, "hold_ms": 1000,
-            "plan": {"listen": address(ports.1), "voters": voters, "directory": directory, "tick_ms": 20,
+            "listen": address(first_ports.0), "join": join, "probe_ms": 100, "hold_ms": 1000,
+            "plan": {"listen": address(first_ports.1), "voters": voters, "directory": directory, "tick_ms": 20,
                 "lease_ms": 1000},
         })
     };
-    let first = start("n0", &config, section(ports, json!([]), Some(directory)));
-    let second = start("n1", &config, section(others, json!([address(ports.0)]), None));
+    let first = start("n0", &config, fleet_section(first_ports, json!([]), Some(directory)));
+    let second = start("n1", &config, fleet_section(second_ports, json!([address(first_ports.0)]), None));
     (first, second, (backend, discovery, counter))
 }
 
+/// Sends a GET request to an admin address.
 fn get(admin: SocketAddr, path: &str) -> Message {
     Client::connect(admin).exchange(&format!("GET {path} HTTP/1.1\r\nHost: a\r\n\r\n"))
 }
 
+/// Sends a POST request to an admin address.
 fn post(admin: SocketAddr, path: &str, body: &str) -> Message {
     let length = body.len();
     Client::connect(admin)
         .exchange(&format!("POST {path} HTTP/1.1\r\nHost: a\r\nContent-Length: {length}\r\n\r\n{body}"))
 }
 
-/// Waits until the answer at a path, a JSON text, is as wanted.
-fn wait_for(member: &Member, path: &str, wanted: impl Fn(&Value) -> bool) -> Value {
+/// Waits until a condition holds for the JSON response at a path, and returns the response.
+fn wait_for(member: &Member, path: &str, condition: impl Fn(&Value) -> bool) -> Value {
     let read = || serde_json::from_str::<Value>(&get(member.admin, path).body).unwrap_or_default();
-    member.node.wait_until(path, || wanted(&read()));
+    member.node.wait_until(path, || condition(&read()));
     read()
 }
 
-/// Waits until the second gateway acts on what the first one leads, every role is held and both know each other.
-fn settled(first: &Member, second: &Member) {
+/// Waits until the first gateway leads and holds a lease, the second acts on the fleet document, and each is a member
+/// in the view of the other.
+fn wait_until_settled(first: &Member, second: &Member) {
     let index = |plan: &Value| plan["index"].as_u64().unwrap_or_default();
     wait_for(first, "/fleet/plan", |plan| plan["leads"] == true && index(plan) > 0);
     wait_for(second, "/fleet/plan", |plan| index(plan) > 0);
-    let held = |told: &Value| {
-        told["duties"].as_array().is_some_and(|rows| rows.iter().any(|row| row["held_here"] == true))
+    let held = |leases: &Value| {
+        leases["duties"].as_array().is_some_and(|rows| rows.iter().any(|row| row["held_here"] == true))
     };
     wait_for(first, "/fleet/duties", held);
     let both = |view: &Value| view["members"].as_array().is_some_and(|rows| rows.len() == 2);
@@ -199,9 +207,9 @@
     wait_for(second, "/fleet/members", both);
 }
 
-/// The paths of all keys in a JSON value; items of a list have one path.
-fn key_paths(value: &Value, path: &str, found: &mut BTreeSet<String>) {
-    // Who saw a member first differs from run to run.
+/// Collects the paths of all keys in a JSON value; all items of an array share one path.
+fn collect_key_paths(value: &Value, path: &str, found: &mut BTreeSet<String>) {
+    // Which gateway observed a member first differs between runs.
     if path.ends_with(".seen") {
         assert!(*value == "here" || value["by"].is_string(), "{path}: {value}");
         return;
@@ -210,28 +218,30 @@
         Value::Object(fields) => fields.iter().for_each(|(name, value)| {
             let path = format!("{path}.{name}");
             found.insert(path.clone());
-            key_paths(value, &path, found);
+            collect_key_paths(value, &path, found);
         }),
-        Value::Array(items) => items.iter().for_each(|item| key_paths(item, &format!("{path}[]"), found)),
+        Value::Array(items) => {
+            items.iter().for_each(|item| collect_key_paths(item, &format!("{path}[]"), found))
+        }
         _ => {}
     }
 }
 
-/// How a call was answered, with the key paths of a JSON answer or the text of another.
-fn answer(call: &str, answer: &Message, found: &mut BTreeSet<String>) {
-    let kind = answer.header("content-type").unwrap_or_default();
-    found.insert(format!("{call}: {} {kind}", answer.status()));
-    match serde_json::from_str::<Value>(&answer.body) {
-        Ok(value) => key_paths(&value, &format!("{call}: "), found),
-        Err(_) if answer.status() == 400 => {}
-        Err(_) => _ = found.insert(format!("{call}: text {}", answer.body.trim())),
+/// Collects the status and content type of a response, with the key paths of a JSON body or the text of any other.
+fn collect_response(call: &str, response: &Message, found: &mut BTreeSet<String>) {
+    let kind = response.header("content-type").unwrap_or_default();
+    found.insert(format!("{call}: {} {kind}", response.status()));
+    match serde_json::from_str::<Value>(&response.body) {
+        Ok(value) => collect_key_paths(&value, &format!("{call}: "), found),
+        Err(_) if response.status() == 400 => {}
+        Err(_) => _ = found.insert(format!("{call}: text {}", response.body.trim())),
     }
 }
 
 #[test]
 fn metrics_have_the_recorded_names_and_labels() {
     let (first, second, _stubs) = fleet();
-    settled(&first, &second);
+    wait_until_settled(&first, &second);
     assert_eq!(first.node.client().exchange(&request("look", 3000)).status(), 200);
     let text = get(first.admin, "/metrics").body;
     let mut found = BTreeSet::new();
@@ -246,9 +256,9 @@
 }
 
 #[test]
-fn the_admin_address_answers_with_the_recorded_keys() {
+fn admin_responses_have_the_recorded_keys() {
     let (first, second, _stubs) = fleet();
-    settled(&first, &second);
+    wait_until_settled(&first, &second);
     assert_eq!(first.node.client().exchange(&request("look", 3000)).status(), 200);
     let mut found = BTreeSet::new();
     let proposal = |id: u64, more: Value| {
@@ -258,7 +268,7 @@
         body.to_string()
     };
     let propose = "/fleet/plan/propose";
-    let wish =
+    let voter_change =
         json!({"name": "n2", "address": "127.0.0.1:1", "zone": "nowhere", "reason": "a test"}).to_string();
     for (call, path, body) in [
         ("propose", propose, proposal(77, json!({}))),
@@ -267,15 +277,15 @@
         ("propose after", propose, proposal(79, json!({"after": 0}))),
         ("propose nonsense", propose, "{}".to_string()),
         ("propose no JSON", propose, "{".to_string()),
-        ("wish", "/fleet/plan/voters", wish),
+        ("wish", "/fleet/plan/voters", voter_change),
         ("wish nonsense", "/fleet/plan/voters", "{}".to_string()),
     ] {
-        answer(call, &post(first.admin, path, &body), &mut found);
+        collect_response(call, &post(first.admin, path, &body), &mut found);
     }
-    answer("propose elsewhere", &post(second.admin, propose, &proposal(80, json!({}))), &mut found);
+    collect_response("propose elsewhere", &post(second.admin, propose, &proposal(80, json!({}))), &mut found);
     let index = |plan: &Value| plan["index"].as_u64().unwrap_or_default();
-    let decided = index(&wait_for(&first, "/fleet/plan", |_| true));
-    wait_for(&second, "/fleet/plan", |plan| index(plan) >= decided);
+    let decided_index = index(&wait_for(&first, "/fleet/plan", |_| true));
+    wait_for(&second, "/fleet/plan", |plan| index(plan) >= decided_index);
     for path in [
         "/healthz",
         "/readyz",
@@ -287,8 +297,8 @@
         "/fleet/duties",
         "/elsewhere",
     ] {
-        answer(&format!("GET {path}"), &get(first.admin, path), &mut found);
-        answer(&format!("GET {path} of another"), &get(second.admin, path), &mut found);
+        collect_response(&format!("GET {path}"), &get(first.admin, path), &mut found);
+        collect_response(&format!("GET {path} of another"), &get(second.admin, path), &mut found);
     }
     compare(&found, include_str!("fixtures/admin.txt"));
 }
