--- a/crates/lanespan/benches/plan.rs
+++ b/crates/lanespan/benches/plan.rs
@@ -1,6 +1,6 @@
 //! The cost of the fleet document for requests: CPU time of a gateway per request, without a `fleet` section, as one of
-//! three voters with a majority, and after the majority is lost, in one run. `cargo bench --bench plan` prints all three
-//! and their ratios.
+//! three voters with a majority, and after the majority is lost, in one run. `cargo bench --bench plan` prints all
+//! three and their ratios.
 #[path = "../tests/sockets/harness.rs"]
 mod harness;
 mod process;
