--- a/crates/gateway/src/fleet.rs
+++ b/crates/gateway/src/fleet.rs
@@ -1,6 +1,6 @@
-//! Membership on a socket: one UDP task, which no request waits for. It owns the socket and the clock; what is known of
-//! the fleet and what is sent, `lanespan_fleet::membership` decides. A datagram that can't be sent is dropped and
-//! counted, since membership is made for loss.
+//! Runs fleet membership over UDP, in one task that no request waits for. The task owns the socket and the clock;
+//! `lanespan_fleet::membership` implements the protocol. A datagram that can't be sent is dropped and counted, because
+//! the protocol tolerates loss.
 
 use crate::clock::Clock;
 use crate::config::{FleetSettings, Upstreams};
@@ -23,57 +23,58 @@
 use tokio::time::{sleep, sleep_until};
 use tracing::{error, info, warn};
 
-/// What this build is called among the members.
-const BUILD: &str = env!("CARGO_PKG_VERSION");
-/// Datagrams read before other tasks have their turn.
-const MAX_DATAGRAMS_PER_TURN: usize = 64;
-/// Longer than any datagram of the fleet's, so that one that is too long is recognized.
+/// The version of this build, as announced to the members.
+const BUILD_VERSION: &str = env!("CARGO_PKG_VERSION");
+/// The maximum number of datagrams read before other tasks can run.
+const MAX_DATAGRAMS_PER_WAKEUP: usize = 64;
+/// The size of the receive buffer, which exceeds that of any valid datagram so that a longer one is detected.
 const RECEIVE_BUFFER_BYTES: usize = 2_048;
-/// The pause after the socket failed. Guards against one that fails at once each time.
+/// The pause after a socket error, so that a socket on which every call fails at once does not cause a busy loop.
 const SOCKET_ERROR_PAUSE: Duration = Duration::from_millis(20);
-/// The active gateways are brought up to date this many times in the time for which one that is gone still counts.
+/// The number of updates of the active gateways within the departure hold, for which a gateway that is gone still
+/// counts.
 const ACTIVE_UPDATES_PER_HOLD: u32 = 10;
 
-/// Where the facts that this gateway announces come from.
+/// The sources of the facts that this gateway announces.
 pub struct FactSources {
-    /// Whether there is an endpoint list.
+    /// Whether this gateway has an endpoint list.
     pub ready: Rc<Cell<bool>>,
-    /// The list's revision.
+    /// The revision of the endpoint list.
     pub endpoint_list_revision: Rc<Cell<u64>>,
     /// The configuration in use.
     pub upstreams: watch::Receiver<Upstreams>,
 }
 
-/// What of its sources a gateway has announced.
+/// The facts that this gateway has announced.
 #[derive(Default)]
 struct Announced {
     leaving: bool,
     ready: bool,
-    /// When the versions of endpoint list and configuration were announced last.
+    /// When the versions of the endpoint list and the configuration were last announced.
     versions_at: Option<Timestamp>,
 }
 
-/// What metrics and status show of the fleet.
+/// The state of the fleet for metrics and status.
 #[derive(Clone, Copy, Debug)]
 pub struct FleetSnapshot {
-    /// How many members there are.
+    /// The number of members by state.
     pub members: MemberCounts,
-    /// Members that lately sent another view digest.
+    /// The number of members whose last recent view digest differs from this gateway's.
     pub disagreeing: usize,
-    /// What membership counted.
+    /// The counters of the membership protocol.
     pub counters: Counters,
-    /// Datagrams that the system did not accept.
+    /// The number of datagrams that the operating system did not accept.
     pub datagrams_unsent: u64,
 }
 
-/// The view from which the active gateways were last brought up to date.
+/// The view digest and the time of the last update of the active gateways.
 #[derive(Clone, Copy, Default)]
 struct ActiveUpdate {
     digest: u64,
     at: Timestamp,
 }
 
-/// A gateway's part in its fleet.
+/// The fleet membership of this gateway, over a UDP socket.
 pub struct Fleet {
     socket: UdpSocket,
     clock: Clock,
@@ -86,7 +87,7 @@
 }
 
 impl Fleet {
-    /// Binds the address and starts a new incarnation there.
+    /// Binds the socket and starts a new incarnation of this gateway.
     pub async fn start(settings: &FleetSettings, clock: Clock, seed: u64) -> io::Result<Rc<Fleet>> {
         let socket = UdpSocket::bind(settings.listen).await?;
         let listen = socket.local_addr()?;
@@ -96,7 +97,7 @@
             address: settings.advertise.unwrap_or(listen),
             incarnation: now.as_micros(),
             zone: settings.zone.clone(),
-            build: BUILD.to_string(),
+            build: BUILD_VERSION.to_string(),
         };
         let (name, address, incarnation) = (&local.name, local.address, local.incarnation);
         info!(name, %address, %listen, cluster = settings.cluster, incarnation, "joining the fleet");
@@ -117,7 +118,8 @@
         }))
     }
 
-    /// Runs for ever. Announces what changes of the sources, and that this gateway leaves once it is to stop.
+    /// Runs the protocol. Never returns. Announces the changes of the sources and, once this gateway is to stop, that
+    /// it is about to leave.
     pub async fn run(self: Rc<Fleet>, sources: FactSources, mut stopping: watch::Receiver<bool>) {
         let mut buffer = vec![0; RECEIVE_BUFFER_BYTES];
         let mut announced = Announced::default();
@@ -140,61 +142,62 @@
         }
     }
 
-    /// Announces that this gateway leaves. What it accepted is answered by now.
+    /// Announces that this gateway leaves. Called once all accepted requests are answered.
     pub fn leave(&self) {
         self.membership.borrow_mut().leave(self.now());
         self.process_outputs();
         info!("left the fleet");
     }
 
-    /// By how many gateways the local quota of a customer is divided whose requests arrive at `spread` gateways from
-    /// number `first` on.
+    /// Returns the number of gateways by which a customer's quota is divided. The customer's requests arrive at
+    /// `spread` consecutive gateways, starting with number `first`.
     pub fn quota_divisor(&self, first: u32, spread: u32) -> u32 {
         self.active_gateways.borrow().quota_divisor(first, spread)
     }
 
-    /// This gateway's identity.
+    /// Returns this gateway's identity.
     pub fn local(&self) -> Node {
         self.membership.borrow().local().clone()
     }
 
-    /// Announces where others fetch the fleet document from this gateway.
+    /// Announces the address at which this gateway serves the fleet document.
     pub fn announce_document_address(&self, address: SocketAddr) {
         self.announce(facts::DOCUMENT_ADDRESS, &address.to_string());
     }
 
-    /// This gateway acts on this version of the fleet document from now on.
+    /// Announces the version of the fleet document that this gateway acts on.
     pub fn set_document_version(&self, version: DocumentVersion) {
         self.membership.borrow_mut().set_document_version(self.now(), version);
         self.process_outputs();
     }
 
-    /// The other active members, and the versions of the fleet document that they act on.
+    /// Returns the other active members with the versions of the fleet document that they act on.
     pub fn member_versions(&self) -> Vec<MemberVersion> {
         self.membership.borrow().member_versions()
     }
 
-    /// Where a member says that the fleet document is fetched from it.
+    /// Returns the address at which a member serves the fleet document, if it announced one.
     pub fn document_address(&self, node: &Node) -> Option<SocketAddr> {
         self.membership.borrow().fact(node, facts::DOCUMENT_ADDRESS)?.parse().ok()
     }
 
-    /// A majority confirmed that this gateway leads the fleet document; a later heartbeat is higher.
+    /// Spreads a heartbeat of this gateway as the leader of the fleet document, which a majority confirmed. Later
+    /// heartbeats have higher numbers.
     pub fn leader_heartbeat(&self, heartbeat: u64) {
         self.membership.borrow_mut().leader_heartbeat(self.now(), heartbeat);
     }
 
-    /// How long ago the latest heartbeat of the document's leader became known.
+    /// Returns the time since the latest heartbeat of the document's leader was received.
     pub fn leader_heartbeat_age(&self, now: Timestamp) -> Duration {
         self.membership.borrow().leader_heartbeat_age(now)
     }
 
-    /// All that is known of the fleet.
+    /// Returns this gateway's full view of the fleet.
     pub fn view(&self) -> View {
         self.membership.borrow().view()
     }
 
-    /// What metrics and status show.
+    /// Returns the state of the fleet for metrics and status.
     pub fn snapshot(&self) -> FleetSnapshot {
         let membership = self.membership.borrow();
         FleetSnapshot {
@@ -225,7 +228,8 @@
             announced.ready = true;
             self.announce(facts::READY, facts::YES);
         }
-        // Lists may change often, and each member passes on what one announces.
+        // Endpoint lists may change often, and each announcement spreads through all members, so versions are announced
+        // at most once a probe period.
         if announced.versions_at.is_none_or(|at| self.now() >= at + self.probe_period) {
             announced.versions_at = Some(self.now());
             self.announce(facts::ENDPOINT_LIST_REVISION, &sources.endpoint_list_revision.get().to_string());
@@ -234,9 +238,9 @@
         }
     }
 
-    /// Reads the datagrams that wait.
+    /// Reads the datagrams that are ready, up to a limit.
     fn receive(&self, buffer: &mut [u8]) -> io::Result<()> {
-        for _ in 0..MAX_DATAGRAMS_PER_TURN {
+        for _ in 0..MAX_DATAGRAMS_PER_WAKEUP {
             match self.socket.try_recv_from(buffer) {
                 Ok((length, _)) => {
                     self.membership.borrow_mut().handle_datagram(self.now(), &buffer[..length]);
@@ -253,13 +257,14 @@
         for output in outputs {
             match output {
                 Output::Send { destination, datagram } => self.send(destination, &datagram),
-                report => log_report(&report),
+                event => log_event(&event),
             }
         }
         self.update_active_gateways();
     }
 
-    /// Also where no member changed, since one that is gone stops counting after a while.
+    /// Updates the active gateways if the view changed or the update interval has passed. The latter is needed because
+    /// a gateway that is gone stops counting after the departure hold.
     fn update_active_gateways(&self) {
         let (now, last) = (self.now(), self.last_active_update.get());
         let membership = self.membership.borrow();
@@ -270,7 +275,7 @@
         }
     }
 
-    /// Sends a datagram. A full send buffer loses it, as the network may.
+    /// Sends a datagram. If the send buffer is full, the datagram is dropped and counted.
     fn send(&self, destination: SocketAddr, datagram: &[u8]) {
         if self.socket.try_send_to(datagram, destination).is_err() {
             self.datagrams_unsent.set(self.datagrams_unsent.get() + 1);
@@ -293,17 +298,17 @@
     }
 }
 
-fn log_report(report: &Output) {
-    match report {
+fn log_event(event: &Output) {
+    match event {
         Output::Send { .. } => {}
         Output::MemberChanged(change) => log_change(change),
         Output::IdentityRenewed(local) => warn!(
             incarnation = local.incarnation,
-            "this gateway was taken for dead, or known with a later start; it goes on under a new incarnation"
+            "this gateway was declared dead, or is known with a later start; it continues under a new incarnation"
         ),
         Output::NameConflict(NameConflict { older, newer }) => error!(
             name = older.name, older = %older.address, newer = %newer.address,
-            "two fleet members have one name, the later one is taken to have it"
+            "two fleet members have the same name, the one that started later owns it"
         ),
     }
 }
--- a/crates/gateway/src/replication.rs
+++ b/crates/gateway/src/replication.rs
@@ -1,8 +1,8 @@
-//! The replicated fleet document on sockets, a store and a clock. What the voters agree on and who holds which lease
-//! is decided in `lanespan_fleet::replication`, without I/O; this module carries it out, off every request's path.
+//! Replicates the fleet document with sockets, a store and a clock. `lanespan_fleet::replication` implements consensus
+//! and leases without I/O; this module performs their I/O. It is not on the path of any request.
 //!
-//! Configuration keys, commands, paths, stored files, JSON keys and metrics call the document the fleet plan and a
-//! lease's role a duty.
+//! In configuration keys, commands, paths, stored files, JSON keys and metrics, the document is called the fleet plan
+//! and a lease's role is called a duty.
 
 mod bootstrap;
 mod catch_up;
--- a/crates/gateway/src/replication/bootstrap.rs
+++ b/crates/gateway/src/replication/bootstrap.rs
@@ -1,4 +1,5 @@
-//! How an empty store becomes a voter: the first voters found a document together, later ones join an existing one.
+//! Turns a gateway with an empty store into a voter: the first voters create a document together, later voters join
+//! an existing one.
 
 use super::message::{voters_of, VoterHandshake, VoterItem};
 use super::peers::{PeerConnection, PeerError};
@@ -12,59 +13,61 @@
 use tokio::task::spawn_local;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Rounds that an empty store waits before it asks the first voters, so that gossip can bring an existing document first.
+/// The number of rounds that a gateway with an empty store waits before it asks the first voters, so that gossip can
+/// first announce an existing document.
 const ROUNDS_BEFORE_BOOTSTRAP: u64 = 10;
 
-/// A document and the state with which a voter starts on it.
+/// A document's id and the durable state with which a voter starts on it.
 #[derive(Debug)]
-struct VoterStart {
+struct InitialState {
     document: u64,
     durable: DurableState,
 }
 
-/// What becomes of an empty store.
+/// The decision about an empty store.
 #[derive(Debug)]
 enum Bootstrap {
-    /// It starts to vote.
-    Start(VoterStart),
-    /// It must not vote.
+    /// The gateway starts to vote with this state.
+    Start(InitialState),
+    /// The gateway must not vote, for this reason.
     Refuse(NotVoting),
-    /// Not all first voters are there yet.
+    /// The first voters have not all answered with a store yet.
     Wait,
 }
 
-/// What is known when an empty store asks the first voters.
+/// The inputs of the decision about an empty store.
 struct BootstrapInputs<'a> {
     name: &'a str,
     store_id: u64,
     handshakes: &'a [VoterHandshake],
-    /// The document that the first voters would found, if all of them are there.
-    founded: Option<VoterStart>,
-    /// Whether other gateways act on a document.
+    /// The document that the first voters would create, if all of them answered with a store.
+    new_document: Option<InitialState>,
+    /// Whether any other gateway acts on a document.
     members_have_document: bool,
 }
 
 impl BootstrapInputs<'_> {
     fn decide(self) -> Bootstrap {
         let existing = self.handshakes.iter().find(|handshake| handshake.document != 0);
-        match (existing, self.founded) {
-            // Another first voter reached all the others a moment earlier and founded it: the same state starts here.
-            (Some(existing), Some(founded)) if existing.document == founded.document => {
-                Bootstrap::Start(founded)
+        match (existing, self.new_document) {
+            // Another first voter already received all answers and created the document. All of them compute the same
+            // initial state.
+            (Some(existing), Some(new_document)) if existing.document == new_document.document => {
+                Bootstrap::Start(new_document)
             }
             (Some(existing), _) => join(existing, self.name, self.store_id),
             (None, Some(_)) if self.members_have_document => Bootstrap::Refuse(NotVoting::StoresLost),
-            (None, Some(founded)) => Bootstrap::Start(founded),
+            (None, Some(new_document)) => Bootstrap::Start(new_document),
             (None, None) => Bootstrap::Wait,
         }
     }
 }
 
-/// Joins an existing document, if it knows this voter by its store.
+/// Decides about joining an existing document, which must list this voter with the id of its store.
 fn join(existing: &VoterHandshake, name: &str, store_id: u64) -> Bootstrap {
     match existing.voters.get(name) {
         Some(id) if *id == store_id => {
-            Bootstrap::Start(VoterStart { document: existing.document, durable: DurableState::empty() })
+            Bootstrap::Start(InitialState { document: existing.document, durable: DurableState::empty() })
         }
         Some(_) => Bootstrap::Refuse(NotVoting::StoreReplaced),
         None => Bootstrap::Refuse(NotVoting::NotAdded),
@@ -72,15 +75,15 @@
 }
 
 impl ReplicationService {
-    /// Asks the first voters what to do with an empty store, every few rounds. A voter that is not among them is
-    /// addressed by the leader once it is added.
+    /// Starts the bootstrap of an empty store if this gateway is one of the first voters, and repeats it every few
+    /// rounds. Any other voter instead starts when the leader sends it messages after it was added.
     pub(super) fn bootstrap_if_due(self: &Rc<Self>, me: &str) {
-        let voting = self.voting.borrow();
-        let is_empty_first_voter = self.settings.voters.contains_key(me) && voting.has_empty_store();
+        let voter_driver = self.voter_driver.borrow();
+        let is_empty_first_voter = self.settings.voters.contains_key(me) && voter_driver.has_empty_store();
         let rounds = self.rounds.get();
-        let is_time = rounds >= ROUNDS_BEFORE_BOOTSTRAP && rounds.is_multiple_of(TICKS_PER_ROUND);
-        let is_under_way = voting.starting_document().is_some() || self.is_bootstrapping.get();
-        if is_empty_first_voter && is_time && !is_under_way {
+        let is_due = rounds >= ROUNDS_BEFORE_BOOTSTRAP && rounds.is_multiple_of(TICKS_PER_ROUND);
+        let is_in_progress = voter_driver.starting_document().is_some() || self.is_bootstrapping.get();
+        if is_empty_first_voter && is_due && !is_in_progress {
             self.is_bootstrapping.set(true);
             spawn_local(self.clone().bootstrap());
         }
@@ -94,8 +97,9 @@
             handshakes.extend(handshake.ok().filter(|handshake| handshake.name == *name));
         }
         self.is_bootstrapping.set(false);
-        let mut voting = self.voting.borrow_mut();
-        let Some(store_id) = voting.store_id().filter(|_| voting.starting_document().is_none()) else {
+        let mut voter_driver = self.voter_driver.borrow_mut();
+        let Some(store_id) = voter_driver.store_id().filter(|_| voter_driver.starting_document().is_none())
+        else {
             return;
         };
         let members = self.members.member_versions();
@@ -103,18 +107,21 @@
             name: &me,
             store_id,
             handshakes: &handshakes,
-            founded: self.founded_document(&handshakes),
+            new_document: self.prepare_new_document(&handshakes),
             members_have_document: members.iter().any(|member| member.version.document != 0),
         };
         match inputs.decide() {
-            Bootstrap::Start(VoterStart { document, durable }) => voting.begin(document, durable),
-            Bootstrap::Refuse(reason) => voting.set_not_voting(reason),
+            Bootstrap::Start(InitialState { document, durable }) => {
+                voter_driver.initialize(document, durable)
+            }
+            Bootstrap::Refuse(reason) => voter_driver.set_not_voting(reason),
             Bootstrap::Wait => {}
         }
     }
 
-    /// The document that the first voters found, if all of them have a store. All of them compute the same one.
-    fn founded_document(&self, handshakes: &[VoterHandshake]) -> Option<VoterStart> {
+    /// Returns the document that the first voters create, or `None` unless all of them have a store. All of them
+    /// compute the same document.
+    fn prepare_new_document(&self, handshakes: &[VoterHandshake]) -> Option<InitialState> {
         let mut ids = Vec::new();
         let mut items = BTreeMap::new();
         for (name, voter) in &self.settings.voters {
@@ -126,29 +133,29 @@
         }
         let document = xxh3_64(format!("{} {items:?}", self.cluster).as_bytes()).max(1);
         let durable = DurableState::bootstrap(&Document::bootstrap(document, &items), ids).ok()?;
-        Some(VoterStart { document, durable })
+        Some(InitialState { document, durable })
     }
 
-    /// What this gateway says of its place among the voters.
+    /// Returns this gateway's handshake, which identifies its store and its document.
     pub fn handshake(&self) -> VoterHandshake {
-        let voting = self.voting.borrow();
-        let follower = self.local_replica.borrow();
-        let voters = voters_of(follower.replica().document());
-        let document = match follower.version().document {
-            0 => voting.starting_document().unwrap_or_default(),
+        let voter_driver = self.voter_driver.borrow();
+        let local_replica = self.local_replica.borrow();
+        let voters = voters_of(local_replica.replica().document());
+        let document = match local_replica.version().document {
+            0 => voter_driver.starting_document().unwrap_or_default(),
             document => document,
         };
         VoterHandshake {
             name: self.members.me().name,
-            id: voting.store_id().unwrap_or_default(),
+            id: voter_driver.store_id().unwrap_or_default(),
             document,
             voters: voters.into_iter().map(|(name, voter)| (name, voter.id)).collect(),
         }
     }
 
-    /// Asks the gateway at an advertised address for its place among the voters.
+    /// Fetches the handshake of the gateway at an advertised address.
     pub(super) async fn fetch_handshake(&self, advertised: SocketAddr) -> Result<VoterHandshake, PeerError> {
-        PeerConnection::new(self.route(advertised)).fetch_handshake().await
+        PeerConnection::new(self.dial_address(advertised)).fetch_handshake().await
     }
 }
 
--- a/crates/gateway/src/replication/bootstrap/tests.rs
+++ b/crates/gateway/src/replication/bootstrap/tests.rs
@@ -8,21 +8,21 @@
     VoterHandshake { name: "g1".to_string(), id: 11, document, voters }
 }
 
-fn founded(document: u64) -> VoterStart {
-    VoterStart { document, durable: DurableState::empty() }
+fn initial_state(document: u64) -> InitialState {
+    InitialState { document, durable: DurableState::empty() }
 }
 
 fn decide(
     handshakes: &[VoterHandshake],
-    founded: Option<VoterStart>,
+    new_document: Option<InitialState>,
     members_have_document: bool,
 ) -> Bootstrap {
     let inputs =
-        BootstrapInputs { name: "g0", store_id: OWN_STORE, handshakes, founded, members_have_document };
+        BootstrapInputs { name: "g0", store_id: OWN_STORE, handshakes, new_document, members_have_document };
     inputs.decide()
 }
 
-fn starts_on(decision: &Bootstrap) -> Option<u64> {
+fn started_document(decision: &Bootstrap) -> Option<u64> {
     match decision {
         Bootstrap::Start(start) => Some(start.document),
         Bootstrap::Refuse(_) | Bootstrap::Wait => None,
@@ -36,27 +36,31 @@
     }
 }
 
+/// If all first voters lost their stores, they must not create a second document beside the one that other gateways act
+/// on.
 #[test]
-fn first_voters_found_a_document_only_when_all_are_there_and_no_other_exists() {
-    let unknown = [handshake(0, &[])];
-    assert!(matches!(decide(&unknown, None, false), Bootstrap::Wait));
-    assert_eq!(starts_on(&decide(&unknown, Some(founded(DOCUMENT)), false)), Some(DOCUMENT));
-    let refused = decide(&unknown, Some(founded(DOCUMENT)), true);
+fn first_voters_create_a_document_only_if_all_have_a_store_and_no_document_exists() {
+    let no_document = [handshake(0, &[])];
+    assert!(matches!(decide(&no_document, None, false), Bootstrap::Wait));
+    assert_eq!(started_document(&decide(&no_document, Some(initial_state(DOCUMENT)), false)), Some(DOCUMENT));
+    let refused = decide(&no_document, Some(initial_state(DOCUMENT)), true);
     assert_eq!(refusal(refused), Some(NotVoting::StoresLost));
 }
 
+/// A first voter must start with the same document if another first voter created it a moment earlier.
 #[test]
-fn a_document_that_another_first_voter_has_just_founded_is_founded_here_too() {
-    let there = [handshake(DOCUMENT, &[])];
-    assert_eq!(starts_on(&decide(&there, Some(founded(DOCUMENT)), true)), Some(DOCUMENT));
+fn document_just_created_by_another_first_voter_is_started_here_too() {
+    let existing = [handshake(DOCUMENT, &[])];
+    assert_eq!(started_document(&decide(&existing, Some(initial_state(DOCUMENT)), true)), Some(DOCUMENT));
 }
 
+/// A store that the document does not list for this voter must not vote, for example one that was emptied.
 #[test]
-fn an_existing_document_is_joined_only_by_the_store_that_it_knows() {
-    let knows_this = [handshake(DOCUMENT, &[("g0", OWN_STORE)])];
-    assert_eq!(starts_on(&decide(&knows_this, Some(founded(8)), true)), Some(DOCUMENT));
-    let knows_another = [handshake(DOCUMENT, &[("g0", 99)])];
-    assert_eq!(refusal(decide(&knows_another, None, true)), Some(NotVoting::StoreReplaced));
-    let knows_none = [handshake(DOCUMENT, &[])];
-    assert_eq!(refusal(decide(&knows_none, None, true)), Some(NotVoting::NotAdded));
+fn existing_document_is_joined_only_with_the_store_id_that_it_lists() {
+    let lists_this_store = [handshake(DOCUMENT, &[("g0", OWN_STORE)])];
+    assert_eq!(started_document(&decide(&lists_this_store, Some(initial_state(8)), true)), Some(DOCUMENT));
+    let lists_another_store = [handshake(DOCUMENT, &[("g0", 99)])];
+    assert_eq!(refusal(decide(&lists_another_store, None, true)), Some(NotVoting::StoreReplaced));
+    let lists_no_store = [handshake(DOCUMENT, &[])];
+    assert_eq!(refusal(decide(&lists_no_store, None, true)), Some(NotVoting::NotAdded));
 }
--- a/crates/gateway/src/replication/local_replica.rs
+++ b/crates/gateway/src/replication/local_replica.rs
@@ -1,5 +1,5 @@
-//! The copy of the document that this gateway acts on, and what was observed of it: divergences from other gateways, and
-//! whether the leader's heartbeats still arrive.
+//! Keeps the replica of the document that this gateway acts on. Detects divergences from other gateways and reports
+//! when the leader's heartbeats stop.
 
 use super::members::MemberVersion;
 use super::message::CatchUpResponse;
@@ -8,45 +8,45 @@
 use std::collections::BTreeSet;
 use tracing::{error, info, warn};
 
-/// The most divergences that are remembered: guards against unbounded growth by a broken gateway.
+/// The maximum number of divergences that are kept, so that a defective gateway can't make the set grow without bound.
 const MAX_DIVERGENCES: usize = 256;
 
-/// The copy of the document, and what was observed around it.
+/// The replica of the document, and what was observed about it.
 #[derive(Default)]
 pub struct LocalReplica {
     replica: Replica,
-    /// The entries seen since the start.
+    /// The number of entries observed since the start.
     entries_seen: u64,
-    /// Gateways and indexes at which a digest differed.
+    /// The gateways whose document or digest differed, with their indexes.
     divergences: BTreeSet<(String, u64)>,
-    /// Whether the leader was reported as silent.
+    /// Whether the leader was last reported as silent.
     leader_is_silent: bool,
-    /// Whether a catch-up is under way.
+    /// Whether a catch-up is being fetched.
     pub(super) is_fetching: bool,
 }
 
 impl LocalReplica {
-    /// Starts with this copy.
+    /// Creates the state with this replica.
     pub fn new(replica: Replica) -> LocalReplica {
         LocalReplica { replica, ..LocalReplica::default() }
     }
 
-    /// The copy.
+    /// Returns the replica.
     pub fn replica(&self) -> &Replica {
         &self.replica
     }
 
-    /// The version of the copy.
+    /// Returns the version of the replica.
     pub fn version(&self) -> DocumentVersion {
         self.replica.version()
     }
 
-    /// The entries seen since the start.
+    /// Returns the number of entries observed since the start.
     pub fn entries_seen(&self) -> u64 {
         self.entries_seen
     }
 
-    /// How many divergences were found since the start.
+    /// Returns the number of divergences found since the start.
     pub fn divergence_count(&self) -> usize {
         self.divergences.len()
     }
@@ -56,17 +56,17 @@
         self.entries_seen += 1;
     }
 
-    /// Replaces the copy by that of the voter.
+    /// Replaces the replica with that of the voter.
     pub fn replace(&mut self, replica: Replica) {
         self.replica = replica;
     }
 
-    /// Applies a catch-up, and returns the entries that were new.
+    /// Applies a catch-up and returns the new entries.
     pub fn apply(&mut self, document: u64, catch_up: CatchUp) -> Result<Vec<Entry>, CatchUpError> {
         self.replica.apply_catch_up(document, catch_up)
     }
 
-    /// What a peer at this index lacks; `NO_DOCUMENT`: one that has no document.
+    /// Returns the catch-up for a peer at this index, or at `NO_DOCUMENT` if it has no document.
     pub fn catch_up_after(&self, after: i64) -> CatchUpResponse {
         let document = self.version().document;
         let catch_up = match u64::try_from(after) {
@@ -76,13 +76,16 @@
         CatchUpResponse { document, catch_up: catch_up.filter(|_| document != 0) }
     }
 
-    /// Raises an alarm for each gateway that acts on another document, or has another digest at an index.
+    /// Logs an error for each gateway that acts on another document or has another digest at the same index, once for
+    /// each index.
     pub(super) fn compare(&mut self, members: &[MemberVersion], me: &str) {
         let own = self.version();
         if own.document == 0 {
             return;
         }
-        for MemberVersion { node, version, .. } in members.iter().filter(|m| m.version.document != 0) {
+        for MemberVersion { node, version, .. } in
+            members.iter().filter(|member| member.version.document != 0)
+        {
             let other_plan = version.document != own.document;
             let here = self.replica.digest_at(version.index);
             if !other_plan && here.is_none_or(|here| here == version.digest) {
@@ -104,7 +107,7 @@
         }
     }
 
-    /// Reports once a change when the heartbeats of a leader stop, and when they resume.
+    /// Logs once when the leader's heartbeats stop, and once when they resume.
     pub(super) fn report_silence(&mut self, is_silent: bool, trust_s: u64) {
         if is_silent == self.leader_is_silent {
             return;
@@ -115,11 +118,11 @@
             warn!(
                 index,
                 trust_s,
-                "plan: no news of a leader with a majority; requests, presence and the last plan go on, proposals \
-                 and grants do not"
+                "plan: no heartbeat from a leader with a majority; requests, membership and the last known plan \
+                 continue, proposals and grants do not"
             );
         } else {
-            info!(index, "plan: a leader with a majority is heard of again");
+            info!(index, "plan: heartbeats from a leader with a majority have resumed");
         }
     }
 }
--- a/crates/gateway/src/replication/members.rs
+++ b/crates/gateway/src/replication/members.rs
@@ -1,4 +1,4 @@
-//! What replication needs of the fleet's membership, and nothing more.
+//! Defines the part of the fleet's membership that replication uses.
 
 use crate::fleet::Fleet;
 pub use lanespan_fleet::membership::MemberVersion;
@@ -8,21 +8,21 @@
 use lanespan_fleet::time::{micros, Timestamp};
 use std::net::SocketAddr;
 
-/// The membership as replication sees it.
+/// Fleet membership, as replication uses it.
 pub trait FleetMembers {
-    /// This gateway and its incarnation.
+    /// Returns this gateway's name and incarnation.
     fn me(&self) -> Candidate;
-    /// Advertises where this gateway serves the document.
+    /// Advertises the address at which this gateway serves the document.
     fn advertise_address(&self, address: SocketAddr);
-    /// Spreads which version this gateway acts on.
+    /// Announces the version that this gateway acts on.
     fn set_document_version(&self, version: DocumentVersion);
-    /// The versions that the other gateways act on.
+    /// Returns the other gateways with the versions that they act on.
     fn member_versions(&self) -> Vec<MemberVersion>;
-    /// Where another gateway serves the document.
+    /// Returns the address at which another gateway serves the document.
     fn address_of(&self, node: &Node) -> Option<SocketAddr>;
-    /// Spreads a heartbeat of this gateway as the confirmed leader.
+    /// Spreads a heartbeat of this gateway, which a majority confirmed as the leader.
     fn spread_leader_heartbeat(&self, heartbeat: u64);
-    /// How long ago the last heartbeat of a leader arrived, in microseconds.
+    /// Returns the time since the last heartbeat of a leader was received, in microseconds.
     fn leader_heartbeat_age(&self, now: u64) -> u64;
 }
 
--- a/crates/gateway/src/replication/peers.rs
+++ b/crates/gateway/src/replication/peers.rs
@@ -1,4 +1,4 @@
-//! Calls to other gateways over HTTP/1.1, and the queues of Raft messages to other voters.
+//! Calls other gateways over HTTP/1.1, and queues the Raft messages to other voters.
 
 use super::message::{
     CatchUpResponse, VoterHandshake, AFTER_PARAMETER, CATCH_UP_PATH, HANDSHAKE_PATH, RAFT_MESSAGES_PATH,
@@ -18,66 +18,66 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
-/// The longest body of Raft messages or of an answer: a complete document and a batch of messages fit.
+/// The maximum size of a body of Raft messages or of a response. A complete document and a batch of messages fit.
 pub const MAX_BODY_BYTES: usize = 12 << 20;
-/// How long a catch-up or a handshake may take.
+/// The timeout of a catch-up or a handshake.
 pub const FETCH_TIMEOUT: Duration = Duration::from_secs(2);
-/// Raft messages that wait for one voter. Further ones are lost, as the network may lose them.
+/// The maximum number of Raft messages queued for one voter. Further ones are dropped; Raft tolerates lost messages.
 const MAX_QUEUED_MESSAGES: usize = 256;
-/// Raft messages that are sent to a voter in one call.
-const MAX_BATCH: usize = 16;
+/// The maximum number of Raft messages sent to a voter in one call.
+const MAX_BATCH_MESSAGES: usize = 16;
 
 /// Why a call to another gateway failed.
 #[derive(Debug, Error)]
 pub enum PeerError {
-    /// No connection could be made.
+    /// The connection could not be established.
     #[error("{0}")]
     Connect(io::Error),
-    /// The request could not be written.
+    /// The request could not be built.
     #[error("{0}")]
     Request(hyper::http::Error),
     /// The connection failed.
     #[error("{0}")]
     Connection(hyper::Error),
-    /// The body of the answer could not be read, or is too long.
+    /// The body of the response could not be read, or is too long.
     #[error("{0}")]
     Body(Box<dyn std::error::Error + Send + Sync>),
-    /// There was no answer in time.
+    /// No response arrived within this time.
     #[error("no answer in {0:?}")]
     Timeout(Duration),
-    /// A JSON body could not be written or parsed.
+    /// A JSON body could not be encoded or decoded.
     #[error("{0}")]
     Json(#[from] serde_json::Error),
-    /// A postcard body could not be written or parsed.
+    /// A postcard body could not be encoded or decoded.
     #[error("{0}")]
     Postcard(#[from] postcard::Error),
 }
 
-/// A connection to one gateway, made when it is needed.
+/// A connection to one gateway, established by the first call.
 pub struct PeerConnection {
     address: SocketAddr,
     sender: Option<SendRequest<Full<Bytes>>>,
 }
 
 impl PeerConnection {
-    /// To the gateway at this address.
+    /// Creates a connection to the gateway at this address, without dialing it.
     pub fn new(address: SocketAddr) -> PeerConnection {
         PeerConnection { address, sender: None }
     }
 
-    /// The gateway's address.
+    /// Returns the gateway's address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Asks for what a follower at this index lacks.
+    /// Fetches the catch-up for a follower at this index.
     pub async fn fetch_catch_up(&mut self, after: i64) -> Result<CatchUpResponse, PeerError> {
         let path = format!("{CATCH_UP_PATH}?{AFTER_PARAMETER}{after}");
         let body = self.call(Method::GET, &path, Bytes::new(), FETCH_TIMEOUT).await?;
         Ok(postcard::from_bytes(&body)?)
     }
 
-    /// Asks the gateway for its place among the voters.
+    /// Fetches the gateway's handshake.
     pub async fn fetch_handshake(&mut self) -> Result<VoterHandshake, PeerError> {
         let body = self.call(Method::GET, HANDSHAKE_PATH, Bytes::new(), FETCH_TIMEOUT).await?;
         Ok(serde_json::from_slice(&body)?)
@@ -87,25 +87,26 @@
     pub async fn send_raft_messages(
         &mut self,
         batch: &[RaftMessage],
-        limit: Duration,
+        call_timeout: Duration,
     ) -> Result<(), PeerError> {
         let body = postcard::to_allocvec(batch)?;
-        self.call(Method::POST, RAFT_MESSAGES_PATH, body.into(), limit).await?;
+        self.call(Method::POST, RAFT_MESSAGES_PATH, body.into(), call_timeout).await?;
         Ok(())
     }
 
-    /// Makes a call and waits for the body of its answer, whatever its status, as the body says what happened. After a
-    /// failure the next call uses a new connection.
+    /// Sends a request and returns the body of the response, whatever the status, because the body holds the result.
+    /// After a failure the next call uses a new connection.
     pub async fn call(
         &mut self,
         method: Method,
         path: &str,
         body: Bytes,
-        limit: Duration,
+        call_timeout: Duration,
     ) -> Result<Bytes, PeerError> {
         let sender = self.sender.take().filter(|sender| !sender.is_closed());
         let exchange = exchange(self.address, sender, method, path, body);
-        let (sender, body) = timeout(limit, exchange).await.map_err(|_| PeerError::Timeout(limit))??;
+        let (sender, body) =
+            timeout(call_timeout, exchange).await.map_err(|_| PeerError::Timeout(call_timeout))??;
         self.sender = Some(sender);
         Ok(body)
     }
@@ -134,40 +135,46 @@
 
 async fn connect(address: SocketAddr) -> Result<Sender, PeerError> {
     let stream = TcpStream::connect(address).await.map_err(PeerError::Connect)?;
-    // Without it small messages wait for acknowledgements; it fails only on a closed connection.
+    // Otherwise small messages are delayed until earlier ones are acknowledged. This fails only if the connection is
+    // closed.
     let _ = stream.set_nodelay(true);
     let (sender, connection) = handshake(TokioIo::new(stream)).await.map_err(PeerError::Connection)?;
     tokio::task::spawn_local(async move {
-        // Its end is seen at the next call.
+        // The next call detects that the connection has ended.
         let _ = connection.await;
     });
     Ok(sender)
 }
 
-/// The queues of Raft messages, one for each voter that was sent any.
+/// The queues of Raft messages, one for each voter to which a message was sent.
 #[derive(Default)]
 pub struct MessageQueues {
     queues: HashMap<u64, mpsc::Sender<RaftMessage>>,
 }
 
 impl MessageQueues {
-    /// Queues a message. For a voter without a queue, `start` is given the receiving end of a new one. A message to a
-    /// full queue is lost.
-    pub fn send(&mut self, message: RaftMessage, start: impl FnOnce(u64, mpsc::Receiver<RaftMessage>)) {
+    /// Queues a message. For a voter without a queue, `on_new_queue` receives the receiving end of a new one. A message
+    /// to a full queue is dropped.
+    pub fn send(
+        &mut self,
+        message: RaftMessage,
+        on_new_queue: impl FnOnce(u64, mpsc::Receiver<RaftMessage>),
+    ) {
         let voter = message.to;
         let queue = self.queues.entry(voter).or_insert_with(|| {
             let (queue, messages) = mpsc::channel(MAX_QUEUED_MESSAGES);
-            start(voter, messages);
+            on_new_queue(voter, messages);
             queue
         });
         let _ = queue.try_send(message);
     }
 }
 
-/// The next batch of a queue: as many messages as wait, up to a limit. `None` once the queue is closed.
+/// Waits for the next batch of a queue: all messages that are queued, up to [`MAX_BATCH_MESSAGES`]. Returns `None` once
+/// the queue is closed.
 pub async fn next_batch(messages: &mut mpsc::Receiver<RaftMessage>) -> Option<Vec<RaftMessage>> {
     let mut batch = vec![messages.recv().await?];
-    while batch.len() < MAX_BATCH {
+    while batch.len() < MAX_BATCH_MESSAGES {
         let Ok(message) = messages.try_recv() else { break };
         batch.push(message);
     }
--- a/crates/gateway/src/replication/peers/tests.rs
+++ b/crates/gateway/src/replication/peers/tests.rs
@@ -1,24 +1,24 @@
 use super::*;
 
-/// A heartbeat from voter 3 to voter 1.
+/// A Raft heartbeat from voter 3 to voter 1, in postcard.
 const HEARTBEAT: [u8; 16] = [7, 1, 3, 5, 2, 0, 0, 0, 2, 0, 0, 0, 0, 0, 0, 0];
 
 #[tokio::test]
-async fn messages_beyond_one_batch_are_sent_in_the_next_one() {
-    let message: RaftMessage = postcard::from_bytes(&HEARTBEAT).expect("a message");
+async fn messages_beyond_the_batch_limit_are_returned_in_the_next_batch() {
+    let message: RaftMessage = postcard::from_bytes(&HEARTBEAT).expect("the message is decoded");
     let (queue, mut messages) = mpsc::channel(MAX_QUEUED_MESSAGES);
-    for _ in 0..MAX_BATCH + 3 {
+    for _ in 0..MAX_BATCH_MESSAGES + 3 {
         queue.try_send(message.clone()).expect("the queue has capacity");
     }
-    assert_eq!(next_batch(&mut messages).await.map(|batch| batch.len()), Some(MAX_BATCH));
+    assert_eq!(next_batch(&mut messages).await.map(|batch| batch.len()), Some(MAX_BATCH_MESSAGES));
     assert_eq!(next_batch(&mut messages).await.map(|batch| batch.len()), Some(3));
     drop(queue);
-    assert!(next_batch(&mut messages).await.is_none(), "the queue is closed");
+    assert!(next_batch(&mut messages).await.is_none(), "a closed queue has no batch");
 }
 
 #[test]
-fn a_voter_has_one_queue_and_messages_to_a_full_one_are_lost() {
-    let message: RaftMessage = postcard::from_bytes(&HEARTBEAT).expect("a message");
+fn each_voter_has_one_queue_and_messages_to_a_full_queue_are_dropped() {
+    let message: RaftMessage = postcard::from_bytes(&HEARTBEAT).expect("the message is decoded");
     let mut queues = MessageQueues::default();
     let mut started = Vec::new();
     for _ in 0..MAX_QUEUED_MESSAGES + 5 {
--- a/crates/gateway/src/replication/pending.rs
+++ b/crates/gateway/src/replication/pending.rs
@@ -1,54 +1,56 @@
-//! Proposals and confirmations that wait for the voters.
+//! Tracks proposals and confirmations that wait for a majority of the voters.
 
 use super::message::RenewalRequest;
 use lanespan_fleet::replication::document::Verdict;
 use std::collections::{BTreeMap, HashMap};
 use tokio::sync::oneshot;
 
-/// Proposals, and confirmations, that wait at once.
-const MAX_WAITING: usize = 256;
-/// What a leader does once a majority has confirmed it.
+/// The maximum number of pending proposals, and likewise of pending confirmations.
+const MAX_PENDING: usize = 256;
+
+/// The action that follows once a majority has confirmed that this gateway leads.
 pub enum Confirmation {
     /// Spread a heartbeat.
     Heartbeat,
-    /// Renew a lease, and answer whether that was possible.
+    /// Renew a lease, and report whether that was possible.
     Renewal {
-        /// What was asked for.
+        /// The request to renew the lease.
         request: RenewalRequest,
-        /// Where to answer.
-        answer: oneshot::Sender<bool>,
+        /// Receives whether the lease was renewed.
+        responder: oneshot::Sender<bool>,
     },
 }
 
-/// Proposals whose decision is waited for, and confirmations that a majority has yet to give.
+/// Proposals that await a decision, and confirmations that await a majority.
 #[derive(Default)]
 pub struct PendingRequests {
     pub(super) proposals: HashMap<u64, oneshot::Sender<Verdict>>,
     pub(super) confirmations: BTreeMap<u64, Confirmation>,
-    heartbeats: u64,
+    heartbeat_count: u64,
 }
 
 impl PendingRequests {
     pub(super) fn is_full(&self) -> bool {
-        self.proposals.len() >= MAX_WAITING
+        self.proposals.len() >= MAX_PENDING
     }
 
     pub(super) fn add_confirmation(&mut self, number: u64, confirmation: Confirmation) {
-        // Guards against growing while no majority answers.
-        if self.confirmations.len() >= MAX_WAITING {
+        // Bounds the map while no majority answers; the confirmation with the lowest number is dropped.
+        if self.confirmations.len() >= MAX_PENDING {
             self.confirmations.pop_first();
         }
         self.confirmations.insert(number, confirmation);
     }
 
-    /// Forgets all confirmations: this gateway does not lead any more.
+    /// Drops all confirmations. Called when this gateway does not lead.
     pub fn clear_confirmations(&mut self) {
         self.confirmations.clear();
     }
 
-    /// The number of the next heartbeat: higher in a later term, and within one it counts up.
+    /// Returns the number of the next heartbeat, which is higher than those of earlier terms and than earlier ones of
+    /// the same term.
     pub(super) fn next_heartbeat(&mut self, term: u64) -> u64 {
-        self.heartbeats += 1;
-        term << 32 | self.heartbeats & 0xffff_ffff
+        self.heartbeat_count += 1;
+        term << 32 | self.heartbeat_count & 0xffff_ffff
     }
 }
--- a/crates/gateway/src/replication/proposals.rs
+++ b/crates/gateway/src/replication/proposals.rs
@@ -1,5 +1,5 @@
-//! Proposals and changes of voters: checked, proposed, waited for and answered; and the leader's confirmations by a
-//! majority.
+//! Checks proposals and changes of voters, proposes them and awaits their decisions. Also handles the confirmations of
+//! leadership by a majority.
 
 use super::message::{voters_of, Reply, VoterChangeRequest, VoterHandshake, VoterItem};
 use super::peers::{PeerConnection, PeerError};
@@ -21,11 +21,11 @@
 use tokio::time::timeout;
 use tracing::{error, info, warn};
 
-/// How long a decision is waited for: less than an admin call may take.
+/// The timeout of a decision, which is shorter than that of a call to the admin interface.
 pub const DECISION_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// How long one voter's reply is waited for at most, however long a lease is.
+/// The upper bound of the timeout of a call to one voter, which otherwise is a quarter of the lease.
 const MAX_VOTER_TIMEOUT: Duration = Duration::from_secs(1);
-/// The most voters of a document.
+/// The maximum number of voters of a document.
 const MAX_VOTERS: usize = 5;
 
 /// Why a change of voters is invalid.
@@ -49,14 +49,14 @@
     Encoding(serde_json::Error),
 }
 
-/// A change of voters with the new value of the voter's item.
+/// A checked change of voters; `value` is the new value of the voter's item, `None` if it is removed.
 struct PlannedChange {
     change: VoterChange,
     value: Option<String>,
 }
 
 impl ReplicationService {
-    /// Proposes a change of the document here, if this gateway leads.
+    /// Proposes a change of the document if this gateway leads, and returns the decision.
     pub async fn propose(&self, proposal: Proposal) -> Reply {
         if let Err(rejection) = proposal.check() {
             return Reply::Invalid(rejection.to_string());
@@ -65,15 +65,19 @@
         if proposal.section == VOTERS_SECTION || proposal.section == LEASES_SECTION && !releases_lease {
             return Reply::Invalid(format!("section: '{}' is changed by other means", proposal.section));
         }
-        self.decide(proposal.id, |voter| voter.propose(&proposal)).await
+        self.propose_and_wait(proposal.id, |voter| voter.propose(&proposal)).await
     }
 
-    /// Makes a proposal and waits for its decision.
-    async fn decide(&self, id: u64, propose: impl FnOnce(&mut Voter) -> Result<(), ProposeError>) -> Reply {
+    /// Makes a proposal at the local voter and waits for its decision.
+    async fn propose_and_wait(
+        &self,
+        id: u64,
+        propose: impl FnOnce(&mut Voter) -> Result<(), ProposeError>,
+    ) -> Reply {
         if self.requests.borrow().is_full() {
             return Reply::Busy;
         }
-        let proposed = match self.voting.borrow_mut().voter_mut() {
+        let proposed = match self.voter_driver.borrow_mut().voter_mut() {
             Some(voter) => propose(voter),
             None => Err(ProposeError::NotLeader(None)),
         };
@@ -82,8 +86,8 @@
             Err(ProposeError::Busy) => return Reply::Busy,
             Err(ProposeError::NotLeader(_)) => return self.not_leader(),
         }
-        let (answer, decided) = oneshot::channel();
-        self.requests.borrow_mut().proposals.insert(id, answer);
+        let (responder, decided) = oneshot::channel();
+        self.requests.borrow_mut().proposals.insert(id, responder);
         self.drive_voter();
         match timeout(DECISION_TIMEOUT, decided).await {
             Ok(Ok(verdict)) => Reply::Decided(verdict),
@@ -94,27 +98,27 @@
         }
     }
 
-    /// A proposal was decided: applies its entry and answers the caller that waits for it.
+    /// Handles the decision of a proposal: applies its entry and replies to the caller that waits for it.
     pub(super) fn handle_decision(&self, id: u64, verdict: Verdict, entry: Option<Entry>) {
         match entry {
             Some(entry) => {
                 self.observe_entry(&entry);
-                let mut follower = self.local_replica.borrow_mut();
-                let document = follower.version().document;
-                // What the voter applied is what this copy takes.
-                if let Err(problem) = follower.apply(document, CatchUp::Entries(vec![entry])) {
-                    error!(%problem, "plan: an entry of the own voter can't be applied");
+                let mut local_replica = self.local_replica.borrow_mut();
+                let document = local_replica.version().document;
+                // The local replica applies the entry that the voter applied.
+                if let Err(problem) = local_replica.apply(document, CatchUp::Entries(vec![entry])) {
+                    error!(%problem, "plan: an entry from the local voter can't be applied");
                 }
             }
             None => self.leases.borrow_mut().proposal_failed(id),
         }
-        if let Some(answer) = self.requests.borrow_mut().proposals.remove(&id) {
-            // The caller may have gone.
-            let _ = answer.send(verdict);
+        if let Some(responder) = self.requests.borrow_mut().proposals.remove(&id) {
+            // Sending fails if the caller stopped waiting.
+            let _ = responder.send(verdict);
         }
     }
 
-    /// Logs an entry before it is applied, and starts the lease that it grants.
+    /// Observes an entry before it is applied: counts and logs it, and updates the lease table.
     pub(super) fn observe_entry(&self, entry: &Entry) {
         self.local_replica.borrow_mut().count_entry();
         let Some(proposal) = entry.proposal() else { return };
@@ -128,35 +132,36 @@
         }
     }
 
-    /// Asks a majority whether this gateway leads, for the sake of this.
+    /// Requests a majority's confirmation that this gateway leads. `confirmation` is the action that follows.
     pub(super) fn request_confirmation(&self, confirmation: Confirmation) {
-        let number = self.draw_id();
+        let number = self.generate_id();
         self.requests.borrow_mut().add_confirmation(number, confirmation);
-        if let Some(voter) = self.voting.borrow_mut().voter_mut() {
+        if let Some(voter) = self.voter_driver.borrow_mut().voter_mut() {
             voter.confirm_leadership(number);
         }
     }
 
-    /// A majority confirmed that this gateway led when it asked.
+    /// Handles a majority's confirmation that this gateway was the leader when it requested it.
     pub(super) fn handle_confirmation(&self, number: u64, now: u64) {
         let mut requests = self.requests.borrow_mut();
         match requests.confirmations.remove(&number) {
             Some(Confirmation::Heartbeat) => {
-                let voting = self.voting.borrow();
-                let term = voting.voter().map_or(0, |voter| voter.log_position().term);
+                let voter_driver = self.voter_driver.borrow();
+                let term = voter_driver.voter().map_or(0, |voter| voter.log_position().term);
                 self.members.spread_leader_heartbeat(requests.next_heartbeat(term));
             }
-            Some(Confirmation::Renewal { request, answer }) => {
-                let follower = self.local_replica.borrow();
-                let renewed = self.leases.borrow_mut().renew(&request, follower.replica(), now);
-                // The caller may have gone.
-                let _ = answer.send(renewed);
+            Some(Confirmation::Renewal { request, responder }) => {
+                let local_replica = self.local_replica.borrow();
+                let renewed = self.leases.borrow_mut().renew(&request, local_replica.replica(), now);
+                // Sending fails if the caller stopped waiting.
+                let _ = responder.send(renewed);
             }
             None => {}
         }
     }
 
-    /// Asks the voters one by one, from the last known leader on, until one replies as the leader.
+    /// Asks the voters one after another, the last known leader first and the others in random order, until one of them
+    /// replies as the leader.
     pub(super) async fn ask_leader(&self, path: &str, body: Bytes) -> Reply {
         let voters = voters_of(self.local_replica.borrow().replica().document());
         let mut voters: Vec<SocketAddr> = voters.into_values().map(|voter| voter.address).collect();
@@ -181,15 +186,15 @@
     }
 
     async fn ask_voter(&self, address: SocketAddr, path: &str, body: Bytes) -> Result<Reply, PeerError> {
-        let limit = (self.settings.lease / 4).min(MAX_VOTER_TIMEOUT);
-        let mut connection = PeerConnection::new(self.route(address));
-        let reply = connection.call(Method::POST, path, body, limit).await?;
+        let call_timeout = (self.settings.lease / 4).min(MAX_VOTER_TIMEOUT);
+        let mut connection = PeerConnection::new(self.dial_address(address));
+        let reply = connection.call(Method::POST, path, body, call_timeout).await?;
         Ok(serde_json::from_slice(&reply)?)
     }
 
-    /// Adds or removes a voter here, if this gateway leads.
+    /// Adds or removes a voter if this gateway leads, and returns the decision.
     pub async fn change_voters(&self, request: VoterChangeRequest) -> Reply {
-        if !self.voting.borrow().is_leader() {
+        if !self.voter_driver.borrow().is_leader() {
             return self.not_leader();
         }
         let PlannedChange { change, value } = match self.plan_voter_change(&request).await {
@@ -198,7 +203,7 @@
             Err(problem) => return Reply::Invalid(problem.to_string()),
         };
         let proposal = Proposal {
-            id: self.draw_id(),
+            id: self.generate_id(),
             schema: SCHEMA_VERSION,
             proposer: self.members.me().name,
             reason: request.reason,
@@ -210,7 +215,7 @@
         if let Err(rejection) = proposal.check() {
             return Reply::Invalid(rejection.to_string());
         }
-        self.decide(proposal.id, |voter| voter.change_voters(change, &proposal)).await
+        self.propose_and_wait(proposal.id, |voter| voter.change_voters(change, &proposal)).await
     }
 
     async fn plan_voter_change(
@@ -225,14 +230,15 @@
             (None, None) => return Err(VoterChangeError::DoesNotVote(request.name.clone())),
             (None, Some(voter)) => PlannedChange { change: VoterChange::Remove(voter.id), value: None },
             (Some(address), None) => {
-                let id = self.handshake_with(&request.name, address).await?.id;
+                let id = self.fetch_voter_handshake(&request.name, address).await?.id;
                 zones.push(&request.zone);
                 let item = VoterItem { id, address, zone: request.zone.clone() };
                 let value = serde_json::to_string(&item).map_err(VoterChangeError::Encoding)?;
                 PlannedChange { change: VoterChange::Add(id), value: Some(value) }
             }
         };
-        // On the way from one voter to three there are two; beyond that no zone must decide alone.
+        // Two voters are an intermediate step from one to three, so both may be in one zone. With more than two, no
+        // zone may have a majority.
         let majority = zone_with_majority(zones.iter().copied(), self.settings.zones.len());
         if let Some(zone) = majority.filter(|_| zones.len() > 2) {
             return Err(VoterChangeError::ZoneMajority(zone.to_string()));
@@ -243,8 +249,9 @@
         Ok(planned)
     }
 
-    /// The handshake of a gateway that is to be added under this name.
-    async fn handshake_with(
+    /// Fetches the handshake of a gateway that is to be added under this name, and checks that it has this name and a
+    /// store.
+    async fn fetch_voter_handshake(
         &self,
         name: &str,
         address: SocketAddr,
@@ -257,7 +264,7 @@
         }
     }
 
-    /// The reply of a gateway that does not lead.
+    /// Returns the reply of a gateway that does not lead, with the last known leader.
     pub(super) fn not_leader(&self) -> Reply {
         Reply::NotLeader(self.leader.borrow().clone())
     }
--- a/crates/gateway/src/replication/serve.rs
+++ b/crates/gateway/src/replication/serve.rs
@@ -1,5 +1,5 @@
-//! The address where other gateways reach the replicated document: Raft messages between voters, what followers
-//! fetch, proposals and renewals.
+//! Serves the calls of other gateways: Raft messages between voters, handshakes, catch-ups for followers, proposals and
+//! lease renewals.
 
 use super::message::{
     RenewalRequest, Reply, AFTER_PARAMETER, CATCH_UP_PATH, HANDSHAKE_PATH, PROPOSE_PATH, RAFT_MESSAGES_PATH,
@@ -29,17 +29,17 @@
 use tokio::time::{sleep, timeout};
 use tracing::warn;
 
-/// Connections at once. A further one waits until one of them ends.
+/// The maximum number of open connections. A further one is accepted once one of them ends.
 const MAX_CONNECTIONS: usize = 128;
-/// Calls with Raft messages, whose bodies may be long, that are read at once.
+/// The maximum number of calls with Raft messages whose bodies are read concurrently, because these can be long.
 const MAX_RAFT_CALLS: usize = 4;
-/// The longest body of all other calls.
+/// The maximum size of the body of any other call.
 const MAX_SHORT_BODY_BYTES: usize = 16 << 10;
-/// How long a connection may take over the head of a call, or be idle.
+/// The timeout for the head of a call, and for an idle connection.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(30);
-/// How long a body may take.
+/// The timeout for the body of a call.
 const BODY_TIMEOUT: Duration = Duration::from_secs(2);
-/// The pause after a connection could not be accepted.
+/// The pause after an error in accepting a connection.
 const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(20);
 
 /// Why a call was rejected.
@@ -48,7 +48,7 @@
     #[error("{0}")]
     Closed(#[from] AcquireError),
     #[error("{0}")]
-    Late(#[from] Elapsed),
+    Timeout(#[from] Elapsed),
     #[error("{0}")]
     Body(Box<dyn std::error::Error + Send + Sync>),
     #[error("{0}")]
@@ -59,7 +59,7 @@
     MissingIndex,
 }
 
-/// The status and body of an answer.
+/// The status and body of an HTTP response.
 pub struct HttpResponse {
     /// The status.
     pub status: StatusCode,
@@ -74,7 +74,7 @@
         Ok(HttpResponse { status, body: body.into() })
     }
 
-    /// A reply with a status by which a caller sees whether it was decided here, or where to ask instead.
+    /// Encodes a reply, with a status that shows whether this gateway decided or another one must be asked.
     pub fn from_reply(reply: &Reply) -> Result<HttpResponse, serde_json::Error> {
         let status = match reply {
             Reply::Decided(_) | Reply::Renewed(_) => StatusCode::OK,
@@ -87,7 +87,7 @@
     }
 }
 
-/// Serves other gateways for ever.
+/// Accepts and serves the connections of other gateways. Never returns.
 pub async fn serve(service: Rc<ReplicationService>, listener: TcpListener) {
     let connections = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     let raft_calls = Rc::new(Semaphore::new(MAX_RAFT_CALLS));
@@ -111,7 +111,7 @@
 }
 
 async fn serve_connection(service: Rc<ReplicationService>, stream: TcpStream, raft_calls: Rc<Semaphore>) {
-    // It fails only on a closed connection.
+    // This fails only if the connection is closed.
     let _ = stream.set_nodelay(true);
     let handler = service_fn(|request| {
         let service = service.clone();
@@ -122,7 +122,7 @@
         .timer(TokioTimer::new())
         .header_read_timeout(HEAD_TIMEOUT)
         .serve_connection(TokioIo::new(stream), handler);
-    // A connection that the peer broke off needs no answer.
+    // After an error, such as a connection closed by the peer, no response can be sent.
     let _ = serving.await;
 }
 
@@ -131,11 +131,11 @@
     request: Request<Incoming>,
     raft_calls: &Semaphore,
 ) -> Response<Full<Bytes>> {
-    let answer = match read_body(request, raft_calls).await {
+    let result = match read_body(request, raft_calls).await {
         Ok((head, body)) => handle_call(service, &head, &body).await,
         Err(error) => Err(error),
     };
-    let HttpResponse { status, body } = answer.unwrap_or_else(|error| HttpResponse {
+    let HttpResponse { status, body } = result.unwrap_or_else(|error| HttpResponse {
         status: StatusCode::BAD_REQUEST,
         body: Bytes::from(error.to_string()),
     });
@@ -149,7 +149,7 @@
     let is_raft_call = head.uri.path() == RAFT_MESSAGES_PATH;
     let _permit = if is_raft_call { Some(raft_calls.acquire().await?) } else { None };
     let max_bytes = if is_raft_call { MAX_BODY_BYTES } else { MAX_SHORT_BODY_BYTES };
-    // A slow sender must not keep others out.
+    // The timeout keeps slow senders from blocking other calls.
     let body = timeout(BODY_TIMEOUT, Limited::new(body, max_bytes).collect()).await?;
     Ok((head, body.map_err(CallError::Body)?.to_bytes()))
 }
@@ -167,7 +167,7 @@
         }
         (&Method::GET, HANDSHAKE_PATH) => Ok(HttpResponse::json(StatusCode::OK, &service.handshake())?),
         (&Method::GET, CATCH_UP_PATH) => {
-            let after = follower_index(head.uri.query()).ok_or(CallError::MissingIndex)?;
+            let after = parse_follower_index(head.uri.query()).ok_or(CallError::MissingIndex)?;
             let body = postcard::to_allocvec(&service.catch_up_after(after))?;
             Ok(HttpResponse { status: StatusCode::OK, body: body.into() })
         }
@@ -183,6 +183,6 @@
     }
 }
 
-fn follower_index(query: Option<&str>) -> Option<i64> {
+fn parse_follower_index(query: Option<&str>) -> Option<i64> {
     query?.strip_prefix(AFTER_PARAMETER)?.parse().ok()
 }
--- a/crates/gateway/src/replication/service.rs
+++ b/crates/gateway/src/replication/service.rs
@@ -1,4 +1,4 @@
-//! The service: its event loop, and how its parts work together. The parts have a file each.
+//! Runs the event loop of replication and connects its parts, each of which has a module of its own.
 
 use super::lease_state::Leases;
 use super::local_replica::LocalReplica;
@@ -26,7 +26,7 @@
 use tracing::info;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Ticks between two looks at the other gateways, at leases and at the leader.
+/// The number of ticks in a round, the interval at which other gateways, leases and the leader are checked.
 pub(super) const TICKS_PER_ROUND: u64 = 3;
 
 /// Why replication can't start.
@@ -40,7 +40,7 @@
     Voter {
         /// The store's directory.
         directory: PathBuf,
-        /// What is wrong.
+        /// The cause.
         problem: StartError,
     },
     /// The address can't be listened on.
@@ -48,20 +48,20 @@
     Listen {
         /// The configured address.
         address: SocketAddr,
-        /// What the system reported.
+        /// The error of the operating system.
         problem: io::Error,
     },
 }
 
-/// A gateway's part in the replicated fleet document.
+/// The replication of the fleet document at one gateway.
 pub struct ReplicationService {
-    own: Weak<ReplicationService>,
+    weak_self: Weak<ReplicationService>,
     pub(super) settings: ReplicationSettings,
     pub(super) cluster: String,
     pub(super) members: Rc<dyn FleetMembers>,
     clock: Clock,
     pub(super) rng: RefCell<fastrand::Rng>,
-    pub(super) voting: RefCell<VoterDriver>,
+    pub(super) voter_driver: RefCell<VoterDriver>,
     pub(super) local_replica: RefCell<LocalReplica>,
     pub(super) leases: RefCell<Leases>,
     pub(super) requests: RefCell<PendingRequests>,
@@ -73,7 +73,7 @@
 }
 
 impl ReplicationService {
-    /// Opens the store, where there is one, and listens on the address.
+    /// Opens the store, if one is configured, and listens on the configured address.
     pub async fn start(
         settings: &ReplicationSettings,
         cluster: &str,
@@ -82,33 +82,34 @@
         seed: u64,
     ) -> Result<(Rc<ReplicationService>, TcpListener), ReplicationError> {
         let me = members.me();
-        // The incarnation is part of it: the ids of proposals must not recur after a restart, or a new proposal would
-        // pass for a duplicate.
+        // The seed includes the incarnation, so that the ids of proposals differ after a restart. Otherwise a new
+        // proposal could be treated as a duplicate.
         let mut rng = fastrand::Rng::with_seed(seed ^ me.incarnation);
-        let voting = match &settings.directory {
-            // Drawn without the seed: an empty store must not get the id of an earlier one.
+        let voter_driver = match &settings.directory {
+            // The id of a new store does not depend on the seed, because it must differ from the id of any earlier
+            // store.
             Some(directory) => {
                 let entropy = format!("{me:?} {} {}", clock.now().0, fastrand::u64(..));
                 open_voter(directory, xxh3_64(entropy.as_bytes()).max(1), &mut rng)?
             }
             None => VoterDriver::without_store(),
         };
-        let replica = voting.voter().and_then(Voter::replica).cloned().unwrap_or_default();
+        let replica = voter_driver.voter().and_then(Voter::replica).cloned().unwrap_or_default();
         let listen_failed = |problem| ReplicationError::Listen { address: settings.listen, problem };
         let listener = TcpListener::bind(settings.listen).await.map_err(listen_failed)?;
         let address = listener.local_addr().map_err(listen_failed)?;
         members.advertise_address(settings.advertise.unwrap_or(address));
         let version = replica.version();
         members.set_document_version(version);
-        info!(%address, index = version.index, votes = voting.voter().is_some(), "plan: open");
-        let service = Rc::new_cyclic(|own| ReplicationService {
-            own: own.clone(),
+        info!(%address, index = version.index, votes = voter_driver.voter().is_some(), "plan: open");
+        let service = Rc::new_cyclic(|weak_self| ReplicationService {
+            weak_self: weak_self.clone(),
             settings: settings.clone(),
             cluster: cluster.to_string(),
             members,
             clock,
             rng: RefCell::new(rng),
-            voting: RefCell::new(voting),
+            voter_driver: RefCell::new(voter_driver),
             local_replica: RefCell::new(LocalReplica::new(replica)),
             leases: RefCell::default(),
             requests: RefCell::default(),
@@ -120,11 +121,12 @@
         Ok((service, listener))
     }
 
-    /// Runs for ever. Releases its leases when this gateway is to stop.
+    /// Runs the event loop. Never returns. Releases all leases once this gateway is to stop.
     pub async fn run(self: Rc<Self>, mut stop: watch::Receiver<bool>) {
-        let mut write_results = self.voting.borrow_mut().take_results();
+        let mut write_results = self.voter_driver.borrow_mut().take_results();
         let mut ticks = interval(self.settings.tick);
-        // A process that stood still must not make up for it: its clock would run ahead of the others'.
+        // Missed ticks are not made up after a stall, because the voter's clock would run ahead of those of other
+        // voters.
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let mut tick_count = 0u64;
         let mut stopping = false;
@@ -146,14 +148,15 @@
     }
 
     fn handle_tick(self: &Rc<Self>, tick_count: u64, stopping: bool) {
-        self.voting.borrow_mut().tick();
+        self.voter_driver.borrow_mut().tick();
         self.catch_up();
         if tick_count.is_multiple_of(TICKS_PER_ROUND) {
             self.handle_round(stopping);
         }
     }
 
-    /// The periodic work of every few ticks: comparing versions, leases, founding a document, watching heartbeats.
+    /// Does the periodic work of a round: compares versions, updates and grants leases, confirms leadership, bootstraps
+    /// an empty store and monitors the leader's heartbeats.
     fn handle_round(self: &Rc<Self>, stopping: bool) {
         self.rounds.set(self.rounds.get() + 1);
         let now = self.now();
@@ -163,7 +166,7 @@
         self.update_held_leases(&me, stopping, now);
         let candidate = (!stopping).then(|| me.clone());
         self.grant_leases(&members, candidate, now);
-        if self.voting.borrow().is_leader() {
+        if self.voter_driver.borrow().is_leader() {
             self.request_confirmation(Confirmation::Heartbeat);
         } else {
             self.requests.borrow_mut().clear_confirmations();
@@ -173,17 +176,17 @@
     }
 
     fn handle_write_result(&self, result: WriteResult) {
-        let started = self.voting.borrow_mut().handle_write_result(result, &mut self.rng.borrow_mut());
+        let started = self.voter_driver.borrow_mut().handle_write_result(result, &mut self.rng.borrow_mut());
         if let Some(replica) = started {
             self.local_replica.borrow_mut().replace(replica);
         }
     }
 
-    /// Carries out the voter's outputs until there are no more, and spreads the version that results.
+    /// Handles the voter's outputs until there are no more, and announces the resulting version.
     pub(super) fn drive_voter(&self) {
         let now = self.now();
         loop {
-            let outputs = self.voting.borrow_mut().poll_outputs();
+            let outputs = self.voter_driver.borrow_mut().poll_outputs();
             if outputs.is_empty() {
                 break;
             }
@@ -195,23 +198,23 @@
     fn handle_output(&self, output: Output, now: u64) {
         match output {
             Output::Send(message) => self.send(message),
-            Output::Write { number, write } => self.voting.borrow_mut().write(number, write),
+            Output::Write { number, write } => self.voter_driver.borrow_mut().write(number, write),
             Output::Decided { id, verdict, entry } => self.handle_decision(id, verdict, entry),
-            Output::SnapshotInstalled => self.follow_own_voter(),
+            Output::SnapshotInstalled => self.adopt_voter_replica(),
             Output::LeadershipConfirmed(number) => self.handle_confirmation(number, now),
             Output::LeaderChanged { leader, term } => self.set_leader(leader, term),
-            Output::Halted(reason) => self.voting.borrow_mut().set_not_voting(reason.into()),
+            Output::Halted(reason) => self.voter_driver.borrow_mut().set_not_voting(reason.into()),
         }
     }
 
-    /// Takes the voter's document after a snapshot from the leader, unless this copy is ahead.
-    fn follow_own_voter(&self) {
-        let voting = self.voting.borrow();
-        let Some(replica) = voting.voter().and_then(Voter::replica) else { return };
-        let mut follower = self.local_replica.borrow_mut();
+    /// Replaces the local replica with the voter's after a snapshot from the leader, unless the local replica is ahead.
+    fn adopt_voter_replica(&self) {
+        let voter_driver = self.voter_driver.borrow();
+        let Some(replica) = voter_driver.voter().and_then(Voter::replica) else { return };
+        let mut local_replica = self.local_replica.borrow_mut();
         let index = replica.version().index;
-        if index >= follower.version().index {
-            follower.replace(replica.clone());
+        if index >= local_replica.version().index {
+            local_replica.replace(replica.clone());
             info!(index, "plan: snapshot from the leader installed");
         }
     }
@@ -223,24 +226,24 @@
         *self.leader.borrow_mut() = leader;
     }
 
-    /// Messages came from another voter.
+    /// Handles Raft messages from another voter.
     pub fn receive(&self, messages: &[RaftMessage]) {
         for message in messages {
             let version = self.local_replica.borrow().version();
-            self.voting.borrow_mut().receive(message, version);
+            self.voter_driver.borrow_mut().receive(message, version);
         }
         self.drive_voter();
     }
 
     fn send(&self, message: RaftMessage) {
         self.queues.borrow_mut().send(message, |voter, messages| {
-            spawn_local(send_messages(self.own.clone(), voter, messages));
+            spawn_local(send_messages(self.weak_self.clone(), voter, messages));
         });
     }
 
     fn report_unreachable(&self, voter: u64) {
-        if let Some(own) = self.voting.borrow_mut().voter_mut() {
-            own.report_unreachable(voter);
+        if let Some(local_voter) = self.voter_driver.borrow_mut().voter_mut() {
+            local_voter.report_unreachable(voter);
         }
         self.drive_voter();
     }
@@ -249,8 +252,8 @@
         self.clock.now().0
     }
 
-    /// Draws the id of a proposal or the number of a confirmation.
-    pub(super) fn draw_id(&self) -> u64 {
+    /// Generates a random id for a proposal or a confirmation.
+    pub(super) fn generate_id(&self) -> u64 {
         self.rng.borrow_mut().u64(1..)
     }
 }
@@ -265,7 +268,7 @@
         .map_err(|problem| ReplicationError::Voter { directory: directory.to_path_buf(), problem })
 }
 
-/// The store's next result; never, without a store.
+/// Waits for the next result of the store. Never returns if there is no store.
 async fn next_write_result(results: &mut Option<UnboundedReceiver<WriteResult>>) -> WriteResult {
     if let Some(results) = results {
         if let Some(result) = results.recv().await {
@@ -275,17 +278,17 @@
     std::future::pending().await
 }
 
-/// Sends a voter the messages that are queued for it, until the service ends.
+/// Sends the messages that are queued for a voter, until the service is dropped.
 async fn send_messages(service: Weak<ReplicationService>, voter: u64, mut messages: Receiver<RaftMessage>) {
     let mut connection: Option<PeerConnection> = None;
     while let Some(batch) = next_batch(&mut messages).await {
         let Some(service) = service.upgrade() else { return };
         let Some(advertised) = service.find_voter(voter) else { continue };
-        let address = service.route(advertised.address);
+        let address = service.dial_address(advertised.address);
         let reusable = connection.take().filter(|connection| connection.address() == address);
         let connection = connection.insert(reusable.unwrap_or_else(|| PeerConnection::new(address)));
-        let limit = service.settings.tick * ELECTION_TICKS as u32;
-        if connection.send_raft_messages(&batch, limit).await.is_err() {
+        let call_timeout = service.settings.tick * ELECTION_TICKS as u32;
+        if connection.send_raft_messages(&batch, call_timeout).await.is_err() {
             service.report_unreachable(voter);
             sleep(service.settings.tick).await;
         }
--- a/crates/gateway/src/replication/status.rs
+++ b/crates/gateway/src/replication/status.rs
@@ -1,4 +1,4 @@
-//! What operators see of the replicated document: views for the admin address, and metrics. Keys in the views are
+//! Reports the replicated document to operators: views for the admin interface, and metrics. The keys of the views are
 //! those of the first release.
 
 use super::ReplicationService;
@@ -11,7 +11,7 @@
 
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// The document and this gateway's part in it.
+/// The document and this gateway's role in its replication.
 #[derive(Serialize)]
 struct DocumentStatus {
     #[serde(rename = "plan")]
@@ -29,7 +29,7 @@
     /// The index of the last entry of the voters' log.
     #[serde(rename = "log")]
     log_index: Option<u64>,
-    /// Why a gateway with a store does not vote.
+    /// Why this gateway does not vote although it has a store.
     #[serde(rename = "apart")]
     not_voting: Option<String>,
     #[serde(rename = "news_age_s")]
@@ -46,7 +46,7 @@
 }
 
 impl ItemStatus {
-    fn of(item: &Item) -> ItemStatus {
+    fn from_item(item: &Item) -> ItemStatus {
         ItemStatus { value: item.value.clone(), index: item.index, token: item.position.to_string() }
     }
 }
@@ -75,7 +75,7 @@
 }
 
 impl EntryStatus {
-    fn of(entry: &Entry) -> EntryStatus {
+    fn from_entry(entry: &Entry) -> EntryStatus {
         let proposal = entry.proposal().unwrap_or_default();
         EntryStatus {
             index: entry.index,
@@ -120,53 +120,53 @@
     pub is_voting: bool,
     /// Whether this gateway leads.
     pub is_leader: bool,
-    /// How long ago the last heartbeat of a leader arrived.
+    /// The time since the last heartbeat of a leader was received.
     pub leader_heartbeat_age_seconds: f64,
-    /// The entries that were seen since the start.
+    /// The number of entries observed since the start.
     pub entries_seen: u64,
-    /// Gateways and indexes at which a digest differed.
+    /// The number of divergences from other gateways found since the start.
     pub divergences: usize,
 }
 
 impl ReplicationService {
-    /// The document and this gateway's part in it, for operators.
+    /// Returns the document and this gateway's role in its replication.
     pub fn document_status(&self) -> Value {
-        let follower = self.local_replica.borrow();
-        let voting = self.voting.borrow();
-        let version = follower.version();
-        let position = voting.voter().filter(|voter| voter.is_running()).map(Voter::log_position);
+        let local_replica = self.local_replica.borrow();
+        let voter_driver = self.voter_driver.borrow();
+        let version = local_replica.version();
+        let position = voter_driver.voter().filter(|voter| voter.is_running()).map(Voter::log_position);
         to_json(&DocumentStatus {
             document: hex(version.document),
             index: version.index,
             digest: hex(version.digest),
-            sections: sections_status(follower.replica().document()),
+            sections: sections_status(local_replica.replica().document()),
             leader: self.leader.borrow().as_ref().map(|leader| leader.name.clone()),
             is_voting: position.is_some(),
-            is_leader: voting.is_leader(),
+            is_leader: voter_driver.is_leader(),
             term: position.map(|position| position.term),
             log_index: position.map(|position| position.index),
-            not_voting: voting.not_voting().map(ToString::to_string),
+            not_voting: voter_driver.not_voting().map(ToString::to_string),
             leader_heartbeat_age_s: self.leader_heartbeat_age_seconds(),
             trust: self.trust(),
         })
     }
 
-    /// The retained entries, for operators.
+    /// Returns the retained entries of the document.
     pub fn document_history(&self) -> Value {
-        let follower = self.local_replica.borrow();
+        let local_replica = self.local_replica.borrow();
         to_json(&DocumentHistory {
-            document: hex(follower.version().document),
-            entries: follower.replica().entries().map(EntryStatus::of).collect(),
+            document: hex(local_replica.version().document),
+            entries: local_replica.replica().entries().map(EntryStatus::from_entry).collect(),
         })
     }
 
-    /// Who holds which lease, and whether this gateway may act by it now, for operators.
+    /// Returns the holder of each role's lease, and whether this gateway may act in the role now.
     pub fn leases_status(&self) -> Value {
         let now = self.now();
-        let follower = self.local_replica.borrow();
+        let local_replica = self.local_replica.borrow();
         let leases = self.leases.borrow();
         let lease_status = |role| {
-            let current = follower.replica().document().grant(role);
+            let current = local_replica.replica().document().grant(role);
             LeaseStatus {
                 role,
                 token: current.as_ref().map(|current| current.token.to_string()),
@@ -180,17 +180,17 @@
         })
     }
 
-    /// The metrics now.
+    /// Returns the current values of the metrics.
     pub fn metrics(&self) -> ReplicationMetrics {
-        let follower = self.local_replica.borrow();
-        let voting = self.voting.borrow();
+        let local_replica = self.local_replica.borrow();
+        let voter_driver = self.voter_driver.borrow();
         ReplicationMetrics {
-            index: follower.version().index,
-            is_voting: voting.is_voting(),
-            is_leader: voting.is_leader(),
+            index: local_replica.version().index,
+            is_voting: voter_driver.is_voting(),
+            is_leader: voter_driver.is_leader(),
             leader_heartbeat_age_seconds: self.leader_heartbeat_age_seconds(),
-            entries_seen: follower.entries_seen(),
-            divergences: follower.divergence_count(),
+            entries_seen: local_replica.entries_seen(),
+            divergences: local_replica.divergence_count(),
         }
     }
 
@@ -201,7 +201,7 @@
 
 fn sections_status(document: &Document) -> BTreeMap<String, BTreeMap<String, ItemStatus>> {
     let section = |items: &BTreeMap<String, Item>| {
-        items.iter().map(|(key, item)| (key.clone(), ItemStatus::of(item))).collect()
+        items.iter().map(|(key, item)| (key.clone(), ItemStatus::from_item(item))).collect()
     };
     document.sections.iter().map(|(name, items)| (name.clone(), section(items))).collect()
 }
@@ -210,7 +210,7 @@
     format!("{number:016x}")
 }
 
-/// A view's JSON form; its fields are text and numbers, which always have one.
+/// Converts a view to JSON. This can't fail, because the views consist of text and numbers.
 fn to_json(view: &impl Serialize) -> Value {
     serde_json::to_value(view).unwrap_or_default()
 }
--- a/crates/gateway/src/replication/store.rs
+++ b/crates/gateway/src/replication/store.rs
@@ -1,5 +1,5 @@
-//! A voter's store: an embedded database (redb) in a directory that one process owns. It is written by a thread of its
-//! own, as a sync may take long. Each value carries a checksum over its key and itself.
+//! Stores a voter's state in an embedded database (redb), in a directory that one process owns. A separate thread
+//! writes to it, because a sync may take long. Each value has a checksum over its key and its bytes.
 
 use lanespan_fleet::replication::log::{DurableState, HardState, LogWrite};
 use lanespan_fleet::replication::wire::{LogRecord, Snapshot};
@@ -16,8 +16,8 @@
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver, UnboundedSender};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// The file in the store's directory.
-const FILE: &str = "plan.redb";
+/// The name of the database file in the store's directory.
+const FILE_NAME: &str = "plan.redb";
 /// The table of values that exist once.
 const SINGLE_VALUES: TableDefinition<&str, &[u8]> = TableDefinition::new("once");
 /// The table of log records by index.
@@ -45,7 +45,7 @@
     Open {
         /// The file.
         path: String,
-        /// What went wrong.
+        /// The cause.
         cause: Box<StoreError>,
     },
     /// The file system reported an error.
@@ -54,17 +54,17 @@
     /// The database reported an error.
     #[error("{0}")]
     Database(String),
-    /// A value, or the whole file, fails its check.
+    /// A value or the entire file is damaged.
     #[error("{0} is damaged")]
     Damaged(String),
     /// A value that must exist is missing.
-    #[error("{0} is missing")]
+    #[error("the value '{0}' is missing")]
     Missing(String),
     /// A value can't be encoded.
-    #[error("{0}")]
+    #[error("a value can't be encoded: {0}")]
     Encoding(postcard::Error),
-    /// The thread that writes has ended.
-    #[error("its thread ended")]
+    /// The writer thread has ended.
+    #[error("the store's writer thread has ended")]
     WriterEnded,
 }
 
@@ -76,19 +76,19 @@
     StoreError::Database(error.to_string())
 }
 
-/// Whom a store belongs to.
+/// The voter that a store belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Owner {
-    /// The id under which it votes: drawn when the store is created, so that an empty store is a new voter.
+    /// The voter's id. It is generated when the store is created, so that an empty store is a new voter.
     pub id: u64,
-    /// The document that it votes on; 0: none yet.
+    /// The id of the document that it votes on; 0: none yet.
     pub document: u64,
 }
 
-/// The number of a write that became durable, or why it did not. Number 0 is that of [`Store::begin`].
+/// The number of a write that became durable, or the error. Number 0 stands for [`Store::initialize`].
 pub type WriteResult = Result<u64, StoreError>;
 
-/// A store.
+/// A voter's store.
 pub struct Store {
     jobs: mpsc::Sender<Job>,
     results: Option<UnboundedReceiver<WriteResult>>,
@@ -100,48 +100,48 @@
         number: u64,
         write: Box<LogWrite>,
     },
-    /// Replaces everything: a document begins here, or its state comes from elsewhere.
-    Begin {
+    /// Replaces all contents with the initial state on a document.
+    Initialize {
         owner: Owner,
         durable: Box<DurableState>,
     },
 }
 
 impl Store {
-    /// Opens the store of a directory, or creates one with this id. Also returns the durable state, where the voter
-    /// has begun to vote on a document.
+    /// Opens the store in a directory, or creates one with this id. Also returns the durable state, if the voter has
+    /// started to vote on a document.
     pub fn open(directory: &Path, new_id: u64) -> Result<(Store, Option<DurableState>), StoreError> {
-        let path = directory.join(FILE);
+        let path = directory.join(FILE_NAME);
         let opened = open_database(directory, &path, new_id);
         let opened = opened
             .map_err(|cause| StoreError::Open { path: path.display().to_string(), cause: Box::new(cause) })?;
-        let (jobs, waiting_jobs) = mpsc::channel();
-        let (report, results) = unbounded_channel();
+        let (jobs, job_receiver) = mpsc::channel();
+        let (result_sender, results) = unbounded_channel();
         let database = opened.database;
-        std::thread::spawn(move || run_jobs(&database, &waiting_jobs, &report));
+        std::thread::spawn(move || run_jobs(&database, &job_receiver, &result_sender));
         Ok((Store { jobs, results: Some(results), owner: opened.owner }, opened.durable))
     }
 
-    /// Whom it belongs to.
+    /// Returns the voter that the store belongs to.
     pub fn owner(&self) -> Owner {
         self.owner
     }
 
-    /// The results of writes; can be taken once.
+    /// Takes the receiver of the results of writes. Returns `None` after the first call.
     pub fn take_results(&mut self) -> Option<UnboundedReceiver<WriteResult>> {
         self.results.take()
     }
 
-    /// Starts a write; its number is reported when it is durable.
+    /// Starts a write. Its number is sent as a result once it is durable.
     pub fn write(&self, number: u64, write: LogWrite) -> Result<(), StoreError> {
         let job = Job::Write { number, write: Box::new(write) };
         self.jobs.send(job).map_err(|_| StoreError::WriterEnded)
     }
 
-    /// Starts to vote on a document from this state; number 0 is reported when that is durable.
-    pub fn begin(&mut self, document: u64, durable: &DurableState) -> Result<(), StoreError> {
+    /// Starts to write the initial state on a document. Number 0 is sent as a result once it is durable.
+    pub fn initialize(&mut self, document: u64, durable: &DurableState) -> Result<(), StoreError> {
         self.owner.document = document;
-        let job = Job::Begin { owner: self.owner, durable: Box::new(durable.clone()) };
+        let job = Job::Initialize { owner: self.owner, durable: Box::new(durable.clone()) };
         self.jobs.send(job).map_err(|_| StoreError::WriterEnded)
     }
 }
@@ -156,13 +156,13 @@
     if !directory.exists() {
         fs::DirBuilder::new().recursive(true).mode(0o700).create(directory).map_err(file_system_error)?;
     }
-    // The database may report damage by an assertion.
+    // The database library may panic on a damaged file.
     let opening = || {
         let database = Database::create(path).map_err(database_error)?;
         let contents = read_contents(&database)?;
         Ok::<_, StoreError>((database, contents))
     };
-    let damaged = Err(StoreError::Damaged("it".to_string()));
+    let damaged = Err(StoreError::Damaged("the database".to_string()));
     let (database, contents) = catch_unwind(AssertUnwindSafe(opening)).unwrap_or(damaged)?;
     fs::set_permissions(path, fs::Permissions::from_mode(0o600)).map_err(file_system_error)?;
     let (owner, durable) = match contents {
@@ -182,23 +182,24 @@
     Ok(owner)
 }
 
-/// Carries jobs out until the store is dropped or one fails: after a failed sync nothing counts as durable any more.
-fn run_jobs(database: &Database, jobs: &mpsc::Receiver<Job>, report: &UnboundedSender<WriteResult>) {
+/// Executes jobs until the store is dropped or a job fails, because after a failed sync no later write can be treated
+/// as durable.
+fn run_jobs(database: &Database, jobs: &mpsc::Receiver<Job>, result_sender: &UnboundedSender<WriteResult>) {
     while let Ok(job) = jobs.recv() {
         let result = run_job(database, &job);
         let failed = result.is_err();
-        if report.send(result).is_err() || failed {
+        if result_sender.send(result).is_err() || failed {
             return;
         }
     }
 }
 
-/// Carries a job out in one transaction, and returns once it is durable.
+/// Executes a job in one transaction, and returns once it is durable.
 fn run_job(database: &Database, job: &Job) -> WriteResult {
     let transaction = database.begin_write().map_err(database_error)?;
     let number = match job {
-        Job::Begin { owner, durable } => {
-            put_begin(&transaction, *owner, durable)?;
+        Job::Initialize { owner, durable } => {
+            put_initial_state(&transaction, *owner, durable)?;
             0
         }
         Job::Write { number, write } => {
@@ -210,7 +211,11 @@
     Ok(number)
 }
 
-fn put_begin(transaction: &WriteTransaction, owner: Owner, durable: &DurableState) -> Result<(), StoreError> {
+fn put_initial_state(
+    transaction: &WriteTransaction,
+    owner: Owner,
+    durable: &DurableState,
+) -> Result<(), StoreError> {
     transaction.delete_table(LOG).map_err(database_error)?;
     put(transaction, key::ID, &owner.id)?;
     put(transaction, key::DOCUMENT, &owner.document)?;
@@ -224,7 +229,7 @@
     if let Some(snapshot) = &write.snapshot {
         put(transaction, key::SNAPSHOT, snapshot)?;
     }
-    // A snapshot without a base came from the leader, and replaces the whole log.
+    // A snapshot without a base was sent by the leader and replaces the entire log.
     let installed = write.snapshot.as_ref().filter(|_| write.base.is_none());
     if installed.is_some() {
         transaction.delete_table(LOG).map_err(database_error)?;
@@ -243,7 +248,9 @@
 
 fn put<T: Serialize>(transaction: &WriteTransaction, name: &str, value: &T) -> Result<(), StoreError> {
     let mut table = transaction.open_table(SINGLE_VALUES).map_err(database_error)?;
-    table.insert(name, seal(name_seed(name), value)?.as_slice()).map_err(database_error)?;
+    table
+        .insert(name, encode_with_checksum(checksum_seed(name), value)?.as_slice())
+        .map_err(database_error)?;
     Ok(())
 }
 
@@ -254,12 +261,12 @@
     }
     for record in records {
         let index = record.position.index;
-        table.insert(index, seal(index, record)?.as_slice()).map_err(database_error)?;
+        table.insert(index, encode_with_checksum(index, record)?.as_slice()).map_err(database_error)?;
     }
     Ok(())
 }
 
-/// Everything in a database; `None`: it is new.
+/// Reads the entire contents of a database; `None` if it is new.
 fn read_contents(database: &Database) -> Result<Option<(Owner, Option<DurableState>)>, StoreError> {
     let transaction = database.begin_read().map_err(database_error)?;
     let values = match transaction.open_table(SINGLE_VALUES) {
@@ -278,7 +285,7 @@
     for row in transaction.open_table(LOG).map_err(database_error)?.iter().map_err(database_error)? {
         let (index, bytes) = row.map_err(database_error)?;
         let index = index.value();
-        records.push(unseal(&format!("entry {index}"), index, bytes.value())?);
+        records.push(decode_with_checksum(&format!("entry {index}"), index, bytes.value())?);
     }
     Ok(Some((owner, Some(DurableState { hard_state, base, snapshot, records }))))
 }
@@ -289,20 +296,24 @@
 ) -> Result<T, StoreError> {
     let bytes = values.get(name).map_err(database_error)?;
     let bytes = bytes.ok_or_else(|| StoreError::Missing(name.to_string()))?;
-    unseal(name, name_seed(name), bytes.value())
+    decode_with_checksum(name, checksum_seed(name), bytes.value())
 }
 
-/// Encodes a value and appends its checksum, seeded by its key.
-fn seal<T: Serialize>(seed: u64, value: &T) -> Result<Vec<u8>, StoreError> {
+/// Encodes a value and appends its checksum, seeded with the value's key.
+fn encode_with_checksum<T: Serialize>(seed: u64, value: &T) -> Result<Vec<u8>, StoreError> {
     let mut bytes = postcard::to_allocvec(value).map_err(StoreError::Encoding)?;
     let checksum = xxh3_64_with_seed(&bytes, seed);
     bytes.extend(checksum.to_be_bytes());
     Ok(bytes)
 }
 
-/// Checks and decodes a sealed value.
-fn unseal<T: DeserializeOwned>(what: &str, seed: u64, bytes: &[u8]) -> Result<T, StoreError> {
-    let damaged = || StoreError::Damaged(what.to_string());
+/// Verifies the checksum of an encoded value and decodes the value.
+fn decode_with_checksum<T: DeserializeOwned>(
+    value_name: &str,
+    seed: u64,
+    bytes: &[u8],
+) -> Result<T, StoreError> {
+    let damaged = || StoreError::Damaged(value_name.to_string());
     let (value, checksum) = bytes.split_last_chunk::<8>().ok_or_else(damaged)?;
     if xxh3_64_with_seed(value, seed).to_be_bytes() != *checksum {
         return Err(damaged());
@@ -310,8 +321,8 @@
     postcard::from_bytes(value).map_err(|_| damaged())
 }
 
-/// The checksum's seed of a single value's name.
-fn name_seed(name: &str) -> u64 {
+/// Returns the seed of the checksum for the value with this name.
+fn checksum_seed(name: &str) -> u64 {
     xxh3_64_with_seed(name.as_bytes(), 1)
 }
 
--- a/crates/gateway/src/replication/voter_driver.rs
+++ b/crates/gateway/src/replication/voter_driver.rs
@@ -1,4 +1,5 @@
-//! The voter of this gateway with its store: starts it, passes it what happens, and holds why it does not vote.
+//! Drives this gateway's voter with its store: starts the voter, forwards its inputs and writes, and records why the
+//! gateway does not vote.
 
 use super::store::{Store, StoreError, WriteResult};
 use lanespan_fleet::replication::log::{DurableState, LogWrite};
@@ -9,8 +10,8 @@
 use tokio::sync::mpsc::UnboundedReceiver;
 use tracing::{error, info};
 
-/// The number under which the store reports that a voter's first state is durable.
-const FIRST_STATE: u64 = 0;
+/// The number that the store sends as the result once a voter's initial state is durable.
+const INITIAL_STATE_WRITE: u64 = 0;
 
 /// Why a gateway with a store does not vote.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
@@ -24,39 +25,42 @@
     /// The voter halted.
     #[error(transparent)]
     Halted(#[from] HaltReason),
-    /// The document has a voter of this name with another store.
-    #[error("the store is new, and the plan knows another under this name: remove that voter and add it")]
+    /// The document lists a voter of this name with another store.
+    #[error(
+        "the store is new, and the plan lists another one under this name: remove that voter and add it again"
+    )]
     StoreReplaced,
-    /// The document exists, and this voter is not part of it.
-    #[error("a plan is there already: this voter must be added to it")]
+    /// A document exists that does not list this voter.
+    #[error("a plan already exists: this voter must be added to it")]
     NotAdded,
-    /// All first voters' stores are empty although there is a document.
-    #[error("all voters' stores are empty, and other gateways act on a plan: bring a store back")]
+    /// The stores of all first voters are empty although a document exists.
+    #[error("all voters' stores are empty, but other gateways act on a plan: restore a store")]
     StoresLost,
 }
 
-/// What a voter starts with as soon as it is durable.
-struct FirstState {
+/// The initial state of a voter, which starts once this state is durable.
+struct InitialState {
     document: u64,
     durable: DurableState,
 }
 
-/// The voter and its store, as far as there are any.
+/// This gateway's voter and store, if it has them.
 #[derive(Default)]
 pub struct VoterDriver {
     voter: Option<Voter>,
     store: Option<Store>,
-    first_state: Option<FirstState>,
+    initial_state: Option<InitialState>,
     not_voting: Option<NotVoting>,
 }
 
 impl VoterDriver {
-    /// A gateway that only follows.
+    /// Creates the driver of a gateway that is only a follower.
     pub fn without_store() -> VoterDriver {
         VoterDriver::default()
     }
 
-    /// Starts the voter of a store that has begun to vote; an empty store waits until it is known on what.
+    /// Starts the voter of a store that has the state of a document. With an empty store the voter starts later, once
+    /// its document is known.
     pub fn with_store(
         store: Store,
         durable: Option<DurableState>,
@@ -70,78 +74,78 @@
         Ok(VoterDriver { voter, store: Some(store), ..VoterDriver::default() })
     }
 
-    /// The voter, also one that has halted.
+    /// Returns the voter, which may have halted.
     pub fn voter(&self) -> Option<&Voter> {
         self.voter.as_ref()
     }
 
-    /// The voter, also one that has halted.
+    /// Returns the voter, which may have halted.
     pub fn voter_mut(&mut self) -> Option<&mut Voter> {
         self.voter.as_mut()
     }
 
-    /// The voter, while it leads.
+    /// Returns the voter if it leads.
     pub fn leading_voter_mut(&mut self) -> Option<&mut Voter> {
         self.voter.as_mut().filter(|voter| voter.is_leader())
     }
 
-    /// Whether this gateway votes now.
+    /// Returns whether this gateway votes now.
     pub fn is_voting(&self) -> bool {
         self.voter.as_ref().is_some_and(Voter::is_running)
     }
 
-    /// Whether this gateway leads.
+    /// Returns whether this gateway leads.
     pub fn is_leader(&self) -> bool {
         self.voter.as_ref().is_some_and(Voter::is_leader)
     }
 
-    /// Whether the voter has a document. One that was just added has none until the leader has written to it.
+    /// Returns whether the voter has a document. A voter that was just added has none until the leader sends it.
     pub fn has_document(&self) -> bool {
         let replica = self.voter.as_ref().and_then(Voter::replica);
         replica.is_some_and(|replica| replica.version().document != 0)
     }
 
-    /// Why a gateway with a store does not vote.
+    /// Returns why this gateway does not vote although it has a store.
     pub fn not_voting(&self) -> Option<&NotVoting> {
         self.not_voting.as_ref()
     }
 
-    /// The id of the store.
+    /// Returns the id of the store.
     pub fn store_id(&self) -> Option<u64> {
         self.store.as_ref().map(|store| store.owner().id)
     }
 
-    /// Whether there is a store that votes on no document yet.
+    /// Returns whether there is a store without a document.
     pub fn has_empty_store(&self) -> bool {
         self.store.as_ref().is_some_and(|store| store.owner().document == 0)
     }
 
-    /// The document on which a voter is about to start.
+    /// Returns the id of the document on which a voter is about to start.
     pub fn starting_document(&self) -> Option<u64> {
-        self.first_state.as_ref().map(|first| first.document)
+        self.initial_state.as_ref().map(|state| state.document)
     }
 
-    /// The results of the store's writes; can be taken once.
+    /// Takes the receiver of the results of the store's writes. Returns `None` after the first call or without a store.
     pub fn take_results(&mut self) -> Option<UnboundedReceiver<WriteResult>> {
         self.store.as_mut().and_then(Store::take_results)
     }
 
-    /// Advances the voter's clock.
+    /// Advances the voter's clock by one tick.
     pub fn tick(&mut self) {
         self.voter.iter_mut().for_each(Voter::tick);
     }
 
-    /// Passes a message to the voter. A gateway with an empty store becomes a voter when one of its document's voters
-    /// addresses it as one.
+    /// Passes a message to the voter. A gateway with an empty store becomes a voter when it receives a message of its
+    /// document that is addressed to the id of its store.
     pub fn receive(&mut self, message: &RaftMessage, own_version: DocumentVersion) {
         if self.voter.is_none() && self.is_added_by(message, own_version) {
-            self.begin(message.document, DurableState::empty());
+            self.initialize(message.document, DurableState::empty());
         }
         self.voter.iter_mut().for_each(|voter| voter.receive(message));
     }
 
     fn is_added_by(&self, message: &RaftMessage, own_version: DocumentVersion) -> bool {
-        self.first_state.is_none()
+        self.initial_state.is_none()
             && message.document != 0
             && message.document == own_version.document
             && self.has_empty_store()
@@ -153,7 +157,7 @@
         self.voter.as_mut().map(Voter::poll_outputs).unwrap_or_default()
     }
 
-    /// Writes what the voter asked for.
+    /// Starts a write that the voter requested.
     pub fn write(&mut self, number: u64, write: LogWrite) {
         let Some(store) = &self.store else { return };
         if let Err(problem) = store.write(number, write) {
@@ -161,21 +165,22 @@
         }
     }
 
-    /// Writes the first state of a voter, which starts once it is durable.
-    pub fn begin(&mut self, document: u64, durable: DurableState) {
-        match self.store.as_mut().map(|store| store.begin(document, &durable)) {
+    /// Starts to write the initial state of a voter. The voter starts once this state is durable.
+    pub fn initialize(&mut self, document: u64, durable: DurableState) {
+        match self.store.as_mut().map(|store| store.initialize(document, &durable)) {
             Some(Err(problem)) => self.set_not_voting(problem.into()),
-            _ => self.first_state = Some(FirstState { document, durable }),
+            _ => self.initial_state = Some(InitialState { document, durable }),
         }
     }
 
-    /// Handles the result of a write. Returns the document of a voter that started by it.
+    /// Handles the result of a write. Returns the replica of a voter that it started, unless its document is still
+    /// empty.
     pub fn handle_write_result(&mut self, result: WriteResult, rng: &mut fastrand::Rng) -> Option<Replica> {
         match result {
-            Ok(FIRST_STATE) => return self.start_voter(rng),
+            Ok(INITIAL_STATE_WRITE) => return self.start_voter(rng),
             Ok(number) => self.voter.iter_mut().for_each(|voter| voter.persisted(number)),
             Err(problem) => {
-                self.first_state = None;
+                self.initial_state = None;
                 match &mut self.voter {
                     Some(voter) => voter.store_failed(&problem.to_string()),
                     None => self.set_not_voting(problem.into()),
@@ -186,7 +191,7 @@
     }
 
     fn start_voter(&mut self, rng: &mut fastrand::Rng) -> Option<Replica> {
-        let FirstState { document, durable } = self.first_state.take()?;
+        let InitialState { document, durable } = self.initial_state.take()?;
         let id = self.store_id().unwrap_or_default();
         match Voter::new(id, document, &durable, rng.u64(..)) {
             Ok(voter) => {
@@ -203,7 +208,7 @@
         }
     }
 
-    /// Notes why this gateway does not vote; logged once a reason.
+    /// Records why this gateway does not vote, and logs the reason if it changed.
     pub fn set_not_voting(&mut self, reason: NotVoting) {
         if self.not_voting.as_ref() != Some(&reason) {
             error!(problem = %reason, "plan: this gateway does not vote");
--- a/crates/gateway/tests/replication_fixtures.rs
+++ b/crates/gateway/tests/replication_fixtures.rs
@@ -1,5 +1,5 @@
-//! What the base build (c48a8dd) kept and sent, as files: a voter's store is read back entry by entry, and the bodies
-//! of calls between gateways are decoded and encoded as they were.
+//! Checks compatibility with what the base build (c48a8dd) stored and sent, kept as fixture files: a voter's store is
+//! read back entry by entry, and bodies of calls between gateways are decoded and encoded again without a difference.
 
 use lanespan_fleet::replication::document::Proposal;
 use lanespan_fleet::replication::log::DurableState;
@@ -19,8 +19,8 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// All that a store holds, a line each.
-fn rendered(owner: Owner, durable: &DurableState) -> String {
+/// Renders the entire contents of a store, with one line per value.
+fn render(owner: Owner, durable: &DurableState) -> String {
     let DurableState { hard_state, base, snapshot, records } = durable;
     let mut text = String::new();
     let _ = writeln!(text, "owner {:016x} of {:016x}", owner.id, owner.document);
@@ -44,16 +44,17 @@
     text
 }
 
+/// A store written by the base build must stay readable, with the same values.
 #[test]
-fn a_store_of_the_base_build_is_read_back_entry_by_entry_and_its_voter_starts() {
+fn store_of_the_base_build_is_read_back_entry_by_entry_and_its_voter_starts() {
     let directory = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("plan-store-{}", std::process::id()));
-    std::fs::create_dir_all(&directory).expect("a folder");
-    std::fs::copy(fixture("plan.redb"), directory.join("plan.redb")).expect("copied");
-    let (store, durable) = Store::open(&directory, 1).expect("sound");
-    let (owner, durable) = (store.owner(), durable.expect("a plan has begun"));
-    let mut found = rendered(owner, &durable);
-    let voter = Voter::new(owner.id, owner.document, &durable, 1).expect("sound");
-    let replica = voter.replica().expect("it runs");
+    std::fs::create_dir_all(&directory).expect("the directory is created");
+    std::fs::copy(fixture("plan.redb"), directory.join("plan.redb")).expect("the store is copied");
+    let (store, durable) = Store::open(&directory, 1).expect("the store is opened");
+    let (owner, durable) = (store.owner(), durable.expect("the store has a document"));
+    let mut found = render(owner, &durable);
+    let voter = Voter::new(owner.id, owner.document, &durable, 1).expect("the voter starts");
+    let replica = voter.replica().expect("the voter is running");
     let version = replica.version();
     let _ = writeln!(
         found,
@@ -66,30 +67,31 @@
     if found != expected {
         println!("{found}");
     }
-    assert!(found == expected, "the store is not read as the base build wrote it");
+    assert!(found == expected, "the contents differ from those that the base build wrote");
     drop(store);
-    // What a test leaves behind harms nobody.
+    // A directory that can't be removed does not affect later runs.
     let _ = std::fs::remove_dir_all(directory);
 }
 
-fn again<T: Serialize + DeserializeOwned>(body: &str) -> String {
-    serde_json::to_string(&serde_json::from_str::<T>(body).expect(body)).expect("a form")
+fn reencode<T: Serialize + DeserializeOwned>(body: &str) -> String {
+    serde_json::to_string(&serde_json::from_str::<T>(body).expect(body)).expect("the body is encoded")
 }
 
+/// The wire format must not change, because gateways of different builds call each other.
 #[test]
 fn bodies_of_calls_between_gateways_are_those_of_the_base_build() {
-    let bodies = std::fs::read_to_string(fixture("plan_bodies.txt")).expect("there");
+    let bodies = std::fs::read_to_string(fixture("plan_bodies.txt")).expect("the fixture is read");
     let mut kinds = std::collections::BTreeSet::new();
     for line in bodies.lines() {
-        let (kind, body) = line.split_once(' ').expect("a kind");
+        let (kind, body) = line.split_once(' ').expect("the line has a kind and a body");
         kinds.insert(kind);
         let found = match kind {
-            "hello" => again::<VoterHandshake>(body),
-            "renewal" => again::<RenewalRequest>(body),
-            "answer" => again::<Reply>(body),
-            "wish" => again::<VoterChangeRequest>(body),
-            "proposal" => again::<Proposal>(body),
-            other => panic!("unknown kind {other}"),
+            "hello" => reencode::<VoterHandshake>(body),
+            "renewal" => reencode::<RenewalRequest>(body),
+            "answer" => reencode::<Reply>(body),
+            "wish" => reencode::<VoterChangeRequest>(body),
+            "proposal" => reencode::<Proposal>(body),
+            other => panic!("unknown kind of body: {other}"),
         };
         assert_eq!(found, body);
     }
--- a/crates/lanespan/benches/plan.rs
+++ b/crates/lanespan/benches/plan.rs
@@ -35,7 +35,7 @@
     println!("us a request, min median max: no fleet {off_first:.1?}, a voter {on:.1?}");
     println!("voter / no fleet, pair by pair: {ratio:.3?}");
     members.truncate(1);
-    members[0].wait_for_line("plan: no news of a leader");
+    members[0].wait_for_line("plan: no heartbeat from a leader");
     let ([off_then, lost], ratio) = compare([&off, &members[0]]);
     println!("us a request: no fleet {off_then:.1?}, a voter without a majority {lost:.1?}");
     println!("voter without a majority / no fleet, pair by pair: {ratio:.3?}");
--- a/crates/lanespan/tests/fleet.rs
+++ b/crates/lanespan/tests/fleet.rs
@@ -157,7 +157,7 @@
         };
         rig.wait_for_views("g3 lost", PATIENCE, lost).await.expect("they know");
         act(&rig, Act::Resume(names(&["g3"]))).await;
-        rig.gateway(3).wait_for_line("taken for dead", PATIENCE).await.expect("it is told");
+        rig.gateway(3).wait_for_line("declared dead", PATIENCE).await.expect("it is told");
         rig.wait_for_agreement(PATIENCE).await.expect("six again");
         assert!(life(&rig.views().await) > before);
         assert_eq!(rig.gateway(3).lines_with("fleet member dead"), 0, "its own timers did not run on");
@@ -247,20 +247,20 @@
         act(&rig, Act::Start(names(&["g4"]))).await;
         for place in [1, 4] {
             rig.gateway(place)
-                .wait_for_line("two fleet members have one name", PATIENCE)
+                .wait_for_line("two fleet members have the same name", PATIENCE)
                 .await
                 .expect("told at both");
         }
         for gateway in &rig.gateways {
             let (told, wanted) = (
-                gateway.lines_with("two fleet members have one name"),
+                gateway.lines_with("two fleet members have the same name"),
                 gateway.lines_with("name=\"g1\" older="),
             );
             assert_eq!(told, wanted, "{}: of no other name", gateway.name);
             assert!(told <= 1, "{}: told once, not in turn", gateway.name);
         }
         assert_eq!(
-            rig.gateway(4).lines_with("taken for dead") + rig.gateway(1).lines_with("taken for dead"),
+            rig.gateway(4).lines_with("declared dead") + rig.gateway(1).lines_with("declared dead"),
             0
         );
     });
--- a/crates/lanespan/tests/plan.rs
+++ b/crates/lanespan/tests/plan.rs
@@ -403,7 +403,7 @@
         rig.wait_for_answers("trust given up", "/fleet/plan", PATIENCE, trust).await.expect("by all");
         for gateway in rig.running() {
             gateway
-                .wait_for_line("no news of a leader with a majority", PATIENCE)
+                .wait_for_line("no heartbeat from a leader with a majority", PATIENCE)
                 .await
                 .expect("it is reported");
         }
@@ -431,7 +431,7 @@
         act(&rig, Act::Partition(zones.to_vec())).await;
         for gateway in &rig.gateways {
             gateway
-                .wait_for_line("no news of a leader with a majority", PATIENCE)
+                .wait_for_line("no heartbeat from a leader with a majority", PATIENCE)
                 .await
                 .expect("it is reported");
         }
@@ -513,7 +513,7 @@
         std::fs::remove_file(&store).expect("there");
         act(&rig, Act::Start(vec![victim.name.clone()])).await;
         victim
-            .wait_for_line("the plan knows another under this name", PATIENCE)
+            .wait_for_line("the plan lists another one under this name", PATIENCE)
             .await
             .expect("it is reported");
         let plan = victim.get_json("/fleet/plan").await.expect("it answers");
