--- a/crates/gateway/src/replication/proposals.rs
+++ b/crates/gateway/src/replication/proposals.rs
@@ -160,7 +160,7 @@
         }
     }
 
-    /// Asks the voters one after another, the last known leader first and the others in random order, until one of them
+    /// Asks the voters one after another, the known leader first and the others in random order, until one of them
     /// replies as the leader.
     pub(super) async fn ask_leader(&self, path: &str, body: Bytes) -> Reply {
         let voters = voters_of(self.local_replica.borrow().replica().document());
@@ -264,7 +264,7 @@
         }
     }
 
-    /// Returns the reply of a gateway that does not lead, with the last known leader.
+    /// Returns the reply of a gateway that does not lead, with the leader if it is known.
     pub(super) fn not_leader(&self) -> Reply {
         Reply::NotLeader(self.leader.borrow().clone())
     }
--- a/crates/gateway/src/replication/service.rs
+++ b/crates/gateway/src/replication/service.rs
@@ -66,7 +66,7 @@
     pub(super) leases: RefCell<Leases>,
     pub(super) requests: RefCell<PendingRequests>,
     queues: RefCell<MessageQueues>,
-    /// The leader, or the last known one.
+    /// The leader as last reported; `None` if none is known.
     pub(super) leader: RefCell<Option<VoterAddress>>,
     pub(super) is_bootstrapping: Cell<bool>,
     pub(super) rounds: Cell<u64>,
