--- a/crates/lab/src/checks.rs
+++ b/crates/lab/src/checks.rs
@@ -1,8 +1,10 @@
-//! Checks of a run that use none of the gateways' code: by what clients got, what arrived at backends, and what each process did.
+//! Checks a finished run from the clients' responses, the backends' arrivals and the gateways' processes and logs.
+//!
+//! The checks use none of the gateways' code.
 
 use crate::experiment::Checks;
 use crate::gateway::{Gateway, ResourceUsage};
-use crate::load::{Fate, RequestRecord, CLASSES};
+use crate::load::{Outcome, RequestRecord, CLASSES};
 use crate::record::RunRecord;
 use crate::stand_in::backend::Arrival;
 use serde::Serialize;
@@ -11,20 +13,20 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long after a gateway got the notice that a backend drains requests may still reach it: the protocol's 2 s and
-/// the slack of sockets.
+/// How long a backend may still receive requests from a gateway that was notified that it drains. The protocol allows
+/// 2 s; the rest is slack for delays in sockets.
 const DRAIN_TIMEOUT: Duration = Duration::from_millis(2_050 + 250);
-/// How long before and after a gateway is killed or stopped its clients' connections may break.
+/// The time before and after an outage of a gateway in which its clients' connections may break.
 const OUTAGE_MARGIN: Duration = Duration::from_millis(1_000);
-/// At most so many violations of one kind are listed.
-const MAX_VIOLATIONS_PER_KIND: usize = 10;
+/// The maximum number of violations reported per check.
+const MAX_VIOLATIONS_PER_CHECK: usize = 10;
 
-/// A check that does not hold.
+/// One violation of a check.
 #[derive(Clone, Debug, Serialize)]
 pub struct Violation {
-    /// The check.
+    /// The name of the check.
     pub check: &'static str,
-    /// What was observed: gateway, request and time.
+    /// A description of the violation: gateway, request and time.
     #[serde(rename = "seen")]
     pub observed: String,
 }
@@ -33,164 +35,184 @@
     Violation { check, observed }
 }
 
-/// Requests that lost their answer, ran twice, went where nothing may go, or beyond quotas; processes that crashed or
-/// grew.
+/// Returns the violations by requests and processes.
+///
+/// These are requests without a response, with a forged or an extra one, executed twice, sent to a drained backend or
+/// forwarded beyond quotas, too few requests served, and processes that crashed or exceeded their resource bounds.
 pub fn request_violations(run: &RunRecord<'_>) -> Vec<Violation> {
-    let (requests, arrivals) = (run.ledger.requests.borrow(), &run.arrivals);
+    let (requests, arrivals) = (run.results.requests.borrow(), &run.arrivals);
     let requests_by_id: HashMap<&str, &RequestRecord> =
-        requests.iter().map(|record| (record.call.as_str(), record)).collect();
-    let mut found = Vec::new();
-    found.extend(missing_answers(&requests, run.gateways));
-    found.extend(forged_answers(&requests, arrivals));
-    found.extend(duplicate_runs(&requests_by_id, arrivals));
-    found.extend(late_after_drain(&run.drained_at, &requests_by_id, arrivals));
-    for (gateway, at) in run.ledger.unexpected_responses.borrow().iter() {
-        let observed = format!("{gateway} answered what nobody asked at {:.2} s", at.as_secs_f64());
-        found.push(violation("one answer", observed));
+        requests.iter().map(|record| (record.request_id.as_str(), record)).collect();
+    let mut violations = Vec::new();
+    violations.extend(missing_responses(&requests, run.gateways));
+    violations.extend(forged_responses(&requests, arrivals));
+    violations.extend(duplicate_executions(&requests_by_id, arrivals));
+    violations.extend(requests_after_drain(&run.drain_notices, &requests_by_id, arrivals));
+    for (gateway, at) in run.results.unexpected_responses.borrow().iter() {
+        let observed = format!("{gateway} sent a response without a request at {:.2} s", at.as_secs_f64());
+        violations.push(violation("one answer", observed));
     }
-    let bound = run.experiment.checks.beyond_quota;
+    let max_beyond_share = run.experiment.checks.beyond_quota;
     let QuotaUsage { within, beyond } = quota_usage(arrivals, run.experiment.load.quota);
-    if beyond > bound * within.max(1.0) {
-        let observed = format!("{beyond:.0} units beyond and {within:.0} inside, allowed {bound}");
-        found.push(violation("quotas", observed));
+    if beyond > max_beyond_share * within.max(1.0) {
+        let observed = format!(
+            "{beyond:.0} units beyond quotas and {within:.0} within, allowed share {max_beyond_share}"
+        );
+        violations.push(violation("quotas", observed));
     }
-    found.extend(run.gateways.iter().flat_map(|gateway| processes(gateway, &run.experiment.checks)));
-    let served = requests.iter().filter(|record| matches!(record.fate, Fate::Served(_))).count();
-    let wanted = requests.len() as f64 * run.experiment.checks.served;
-    if (served as f64) < wanted {
-        found.push(violation("served", format!("{served} of {}, wanted {wanted:.0}", requests.len())));
+    violations
+        .extend(run.gateways.iter().flat_map(|gateway| process_violations(gateway, &run.experiment.checks)));
+    let served = requests.iter().filter(|record| matches!(record.outcome, Outcome::Served(_))).count();
+    let required = requests.len() as f64 * run.experiment.checks.served;
+    if (served as f64) < required {
+        violations.push(violation(
+            "served",
+            format!("{served} of {} served, expected {required:.0}", requests.len()),
+        ));
     }
-    found
+    violations
 }
 
-/// A gateway's process neither crashed nor grew beyond its bounds.
-fn processes(gateway: &Gateway, bounds: &Checks) -> Vec<Violation> {
+/// Returns the crashes of a gateway's process and the resource bounds that it exceeded.
+fn process_violations(gateway: &Gateway, bounds: &Checks) -> Vec<Violation> {
     let crashes = gateway.crashes.borrow();
-    let mut found: Vec<Violation> =
+    let mut violations: Vec<Violation> =
         crashes.iter().map(|crash| violation("no crash", crash.clone())).collect();
     let ResourceUsage { memory_bytes, descriptors } = gateway.peak_usage.get();
     if memory_bytes > bounds.memory_mb << 20 {
-        found.push(violation("memory", format!("{} had {} MiB", gateway.name, memory_bytes >> 20)));
+        violations.push(violation("memory", format!("{} used {} MiB", gateway.name, memory_bytes >> 20)));
     }
     if descriptors > bounds.descriptors {
-        found.push(violation("descriptors", format!("{} had {descriptors}", gateway.name)));
+        violations.push(violation("descriptors", format!("{} had {descriptors} open", gateway.name)));
     }
-    found
+    violations
 }
 
-/// Requests without a final answer, unless their gateway was killed or stopped meanwhile.
-fn missing_answers(requests: &[RequestRecord], gateways: &[Rc<Gateway>]) -> Vec<Violation> {
+/// Returns the requests without a final response, except those whose gateway was killed or stopped meanwhile.
+fn missing_responses(requests: &[RequestRecord], gateways: &[Rc<Gateway>]) -> Vec<Violation> {
     let excused = |record: &RequestRecord| {
         let gateway = gateways.iter().find(|gateway| gateway.name == record.gateway);
         gateway.is_some_and(|gateway| {
-            let spans = gateway.outages.borrow();
-            spans.iter().any(|outage| {
+            let outages = gateway.outages.borrow();
+            outages.iter().any(|outage| {
                 record.due <= outage.to.saturating_add(OUTAGE_MARGIN)
                     && record.ended + OUTAGE_MARGIN >= outage.from
             })
         })
     };
-    let lost = requests
-        .iter()
-        .filter(|record| matches!(record.fate, Fate::ConnectionBroken | Fate::Unanswered | Fate::Pending));
-    let lost = lost.filter(|record| !excused(record)).take(MAX_VIOLATIONS_PER_KIND);
+    let lost = requests.iter().filter(|record| {
+        matches!(record.outcome, Outcome::ConnectionBroken | Outcome::Unanswered | Outcome::Pending)
+    });
+    let lost = lost.filter(|record| !excused(record)).take(MAX_VIOLATIONS_PER_CHECK);
     lost.map(|record| {
         let (due, ended) = (record.due.as_secs_f64(), record.ended.as_secs_f64());
-        let fate = record.fate.label();
+        let outcome = record.outcome.label();
         violation(
             "one answer",
-            format!("{} through {}, due {due:.2} s: {fate} at {ended:.2} s", record.call, record.gateway),
+            format!(
+                "{} through {}, due {due:.2} s: {outcome} at {ended:.2} s",
+                record.request_id, record.gateway
+            ),
         )
     })
     .collect()
 }
 
-/// Answers that no backend made for the request.
-fn forged_answers(requests: &[RequestRecord], arrivals: &[Arrival]) -> Vec<Violation> {
-    let worked: BTreeSet<(&str, &str)> = arrivals
+/// Returns the responses whose body no backend produced for that request.
+fn forged_responses(requests: &[RequestRecord], arrivals: &[Arrival]) -> Vec<Violation> {
+    let executed: BTreeSet<(&str, &str)> = arrivals
         .iter()
-        .filter(|arrival| arrival.ran)
-        .map(|arrival| (arrival.call.as_str(), arrival.backend.as_str()))
+        .filter(|arrival| arrival.executed)
+        .map(|arrival| (arrival.request_id.as_str(), arrival.backend.as_str()))
         .collect();
-    let served = requests.iter().filter_map(|record| match &record.fate {
-        Fate::Served(body) => Some((record, String::from_utf8_lossy(body).into_owned())),
+    let served = requests.iter().filter_map(|record| match &record.outcome {
+        Outcome::Served(body) => Some((record, String::from_utf8_lossy(body).into_owned())),
         _ => None,
     });
-    let strange = served.filter(|(record, body)| {
-        let mut words = body.split(' ');
-        let (call, backend) = (words.next().unwrap_or_default(), words.next().unwrap_or_default());
-        call != record.call || !worked.contains(&(call, backend))
+    let forged = served.filter(|(record, body)| {
+        let mut fields = body.split(' ');
+        let (request_id, backend) = (fields.next().unwrap_or_default(), fields.next().unwrap_or_default());
+        request_id != record.request_id || !executed.contains(&(request_id, backend))
     });
-    strange
-        .take(MAX_VIOLATIONS_PER_KIND)
+    forged
+        .take(MAX_VIOLATIONS_PER_CHECK)
         .map(|(record, body)| {
-            violation("answers unchanged", format!("{} through {} got '{body}'", record.call, record.gateway))
+            violation(
+                "answers unchanged",
+                format!("{} through {} got '{body}'", record.request_id, record.gateway),
+            )
         })
         .collect()
 }
 
-/// Requests that are not idempotent and ran more than once.
-fn duplicate_runs(requests_by_id: &HashMap<&str, &RequestRecord>, arrivals: &[Arrival]) -> Vec<Violation> {
-    let mut runs = BTreeMap::<&str, Vec<&Arrival>>::new();
+/// Returns the requests that are not idempotent and were executed more than once.
+fn duplicate_executions(
+    requests_by_id: &HashMap<&str, &RequestRecord>,
+    arrivals: &[Arrival],
+) -> Vec<Violation> {
+    let mut executions = BTreeMap::<&str, Vec<&Arrival>>::new();
     arrivals
         .iter()
-        .filter(|arrival| arrival.ran)
-        .for_each(|arrival| runs.entry(&arrival.call).or_default().push(arrival));
-    let twice = runs.into_iter().filter(|(call, runs)| {
-        runs.len() > 1 && requests_by_id.get(call).is_some_and(|request| !CLASSES[request.class].idempotent)
+        .filter(|arrival| arrival.executed)
+        .for_each(|arrival| executions.entry(&arrival.request_id).or_default().push(arrival));
+    let duplicates = executions.into_iter().filter(|(request_id, executions)| {
+        executions.len() > 1
+            && requests_by_id.get(request_id).is_some_and(|request| !CLASSES[request.class].idempotent)
     });
-    twice
-        .take(MAX_VIOLATIONS_PER_KIND)
-        .map(|(call, runs)| {
-            let runs_observed = runs
+    duplicates
+        .take(MAX_VIOLATIONS_PER_CHECK)
+        .map(|(request_id, executions)| {
+            let descriptions = executions
                 .iter()
                 .map(|arrival| format!("{} at {:.2} s", arrival.backend, arrival.at.as_secs_f64()));
-            let gateway = requests_by_id.get(call).map_or("?", |request| request.gateway.as_str());
-            let observed = runs_observed.collect::<Vec<_>>().join(", ");
-            violation("not twice", format!("{call} through {gateway} ran at {observed}"))
+            let gateway = requests_by_id.get(request_id).map_or("?", |request| request.gateway.as_str());
+            let observed = descriptions.collect::<Vec<_>>().join(", ");
+            violation("not twice", format!("{request_id} through {gateway} was executed by {observed}"))
         })
         .collect()
 }
 
-/// Requests that reached a backend too long after their gateway got the notice that it drains.
-fn late_after_drain(
+/// Returns the requests that arrived at a backend too long after their gateway was notified that it drains.
+fn requests_after_drain(
     drain_notices: &HashMap<(String, String), Duration>,
     requests_by_id: &HashMap<&str, &RequestRecord>,
     arrivals: &[Arrival],
 ) -> Vec<Violation> {
     let late = arrivals.iter().filter_map(|arrival| {
-        let request = requests_by_id.get(arrival.call.as_str())?;
+        let request = requests_by_id.get(arrival.request_id.as_str())?;
         let drained_at = drain_notices.get(&(request.gateway.clone(), arrival.backend.clone()))?;
         (arrival.at > *drained_at + DRAIN_TIMEOUT).then(|| {
             let (at, drained_at) = (arrival.at.as_secs_f64(), drained_at.as_secs_f64());
             let observed = format!(
                 "{} through {} reached {} at {at:.2} s",
-                arrival.call, request.gateway, arrival.backend
+                arrival.request_id, request.gateway, arrival.backend
             );
-            violation("drained", format!("{observed}, told at {drained_at:.2} s"))
+            violation("drained", format!("{observed}, drain notice at {drained_at:.2} s"))
         })
     });
-    late.take(MAX_VIOLATIONS_PER_KIND).collect()
+    late.take(MAX_VIOLATIONS_PER_CHECK).collect()
 }
 
-/// Units forwarded to backends, by the customers' quotas.
+/// Units forwarded to backends, split by the customers' quotas.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct QuotaUsage {
     /// Units within the quotas.
     pub within: f64,
-    /// Units beyond them.
+    /// Units beyond the quotas.
     pub beyond: f64,
 }
 
-/// Units forwarded within and beyond the customers' quotas (units a second, burst), over all gateways: each request
-/// once, when it first arrived at a backend.
+/// Returns the units forwarded by all gateways within and beyond the customers' quotas.
+///
+/// Each customer has a token bucket of the given rate (units per second) and burst (units). A request counts once, at
+/// its first arrival at a backend.
 pub fn quota_usage(arrivals: &[Arrival], (rate, burst): (f64, f64)) -> QuotaUsage {
     let mut by_time = arrivals.to_vec();
     by_time.sort_by_key(|arrival| arrival.at);
     let mut counted = BTreeSet::new();
     let mut buckets = HashMap::<u64, (f64, Duration)>::new();
     let mut usage = QuotaUsage::default();
-    for arrival in by_time.iter().filter(|arrival| counted.insert(arrival.call.clone())) {
+    for arrival in by_time.iter().filter(|arrival| counted.insert(arrival.request_id.clone())) {
         let (level, refilled_at) = buckets.entry(arrival.customer).or_insert((burst, arrival.at));
         *level = (*level + rate * (arrival.at - *refilled_at).as_secs_f64()).min(burst);
         *refilled_at = arrival.at;
@@ -204,28 +226,29 @@
     usage
 }
 
-/// Whether all views are the same, and have as alive those that run and no others.
+/// Returns whether all running gateways, and no others, have a view, all views are equal, and each has exactly the
+/// running gateways as alive.
 pub fn views_agree(views: &BTreeMap<String, Value>, running: &BTreeSet<String>) -> bool {
     let digests: BTreeSet<&str> = views.values().filter_map(|view| view["digest"].as_str()).collect();
     let names: BTreeSet<String> = views.keys().cloned().collect();
     digests.len() <= 1 && names == *running && views.values().all(|view| alive_members(view) == *running)
 }
 
-/// The names of the members that a view has as alive or suspect.
+/// Returns the names of the members that are alive or suspect in a view.
 pub fn alive_members(view: &Value) -> BTreeSet<String> {
     let members = view["members"].as_array().into_iter().flatten();
-    let there = members.filter(|row| matches!(row["standing"].as_str(), Some("present" | "suspect")));
-    there.filter_map(|row| Some(row["name"].as_str()?.to_string())).collect()
+    let alive = members.filter(|row| matches!(row["standing"].as_str(), Some("present" | "suspect")));
+    alive.filter_map(|row| Some(row["name"].as_str()?.to_string())).collect()
 }
 
-/// The state of a member in a view; its latest incarnation counts.
+/// Returns the state of a member's latest incarnation in a view.
 pub fn member_state<'a>(view: &'a Value, name: &str) -> Option<&'a str> {
     let members = view["members"].as_array().into_iter().flatten();
     let rows = members.filter(|row| row["name"] == name);
     rows.max_by_key(|row| row["incarnation"].as_u64()).and_then(|row| row["standing"].as_str())
 }
 
-/// Whether all gateways have the same document, and not none.
+/// Returns whether all gateways have the same document, and that document is not the empty one.
 pub fn same_document(documents: &BTreeMap<String, Value>) -> bool {
     let versions: BTreeSet<String> = documents
         .values()
@@ -234,62 +257,66 @@
     versions.len() == 1 && documents.values().all(|plan| plan["plan"] != "0000000000000000")
 }
 
-/// Fewer proposals were accepted in time than the experiment wants.
-pub fn too_few_proposals(accepted: &[(u64, String)], wanted: usize) -> Violation {
-    violation("proposals", format!("{} agreed, wanted {wanted}: {accepted:?}", accepted.len()))
+/// Returns the violation for fewer proposals accepted in time than the experiment requires.
+pub fn too_few_proposals(accepted: &[(u64, String)], required: usize) -> Violation {
+    violation("proposals", format!("{} accepted, expected {required}: {accepted:?}", accepted.len()))
 }
 
-/// After the end all gateways have one plan; each index had one content at every gateway in every incarnation, tokens in the
-/// order of indexes; and what was reported as accepted is there. `missing` are proposals that were not accepted in
-/// time, `disagreement` says why the gateways did not come to one plan.
+/// Returns the violations of the fleet document's consistency.
+///
+/// At the end all gateways must have the same document. Each index must have had the same content at every gateway in
+/// every incarnation, with fencing tokens ascending by index, and each accepted proposal must be in the history.
+/// `missing` is the violation for proposals that were not accepted in time, `disagreement` the reason why the gateways
+/// did not converge on one document.
 pub fn document_violations(
     run: &RunRecord<'_>,
     missing: Option<Violation>,
     disagreement: Option<String>,
 ) -> Vec<Violation> {
-    let mut found = Vec::from_iter(missing);
-    found.extend(disagreement.map(|problem| violation("one plan", problem)));
+    let mut violations = Vec::from_iter(missing);
+    violations.extend(disagreement.map(|problem| violation("one plan", problem)));
     let mut history = History::default();
     for gateway in run.gateways {
         for incarnation in 1..=gateway.incarnations.get() {
             let log = run.directory.join(format!("{}-{incarnation}.log", gateway.name));
             let log = std::fs::read_to_string(log).unwrap_or_default();
-            found.extend(history.read_log(&gateway.name, &log));
+            violations.extend(history.read_log(&gateway.name, &log));
         }
     }
-    found.extend(history.tokens_out_of_order());
-    for (index, value) in run.proposals.iter().filter(|(index, value)| !history.holds(*index, value)) {
-        let observed = format!("{value} was told as agreed at {index} and is not there");
-        found.push(violation("one history", observed));
+    violations.extend(history.tokens_out_of_order());
+    for (index, value) in run.proposals.iter().filter(|(index, value)| !history.contains(*index, value)) {
+        let observed = format!("{value} was accepted at index {index} and is missing there");
+        violations.push(violation("one history", observed));
     }
-    found.truncate(MAX_VIOLATIONS_PER_KIND);
-    found
+    violations.truncate(MAX_VIOLATIONS_PER_CHECK);
+    violations
 }
 
-/// The plan's entries by the lines that each incarnation of a gateway logged, not by what it answers now.
+/// The entries of the fleet document, read from the log of each incarnation of a gateway rather than from its current
+/// responses.
 #[derive(Default)]
 struct History {
-    /// By index: the content, and the gateway that logged it first.
+    /// The content and the gateway that logged it first, by index.
     entries: BTreeMap<u64, (String, String)>,
 }
 
 impl History {
-    /// Adds the entries of one log; returns what contradicts those of other logs.
+    /// Adds the entries of one log and returns the contradictions to logs read before.
     fn read_log(&mut self, gateway: &str, log: &str) -> Vec<Violation> {
-        let differ = log.lines().filter(|line| line.contains("plan: two gateways differ"));
-        let mut found: Vec<Violation> =
-            differ.map(|line| violation("one plan", format!("{gateway}: {line}"))).collect();
-        for (_, entry) in log.lines().filter_map(|line| line.split_once("plan: changed index=")) {
-            let Some((index, content)) = entry.split_once(' ') else { continue };
+        let differences = log.lines().filter(|line| line.contains("plan: two gateways differ"));
+        let mut violations: Vec<Violation> =
+            differences.map(|line| violation("one plan", format!("{gateway}: {line}"))).collect();
+        for (_, line) in log.lines().filter_map(|line| line.split_once("plan: changed index=")) {
+            let Some((index, content)) = line.split_once(' ') else { continue };
             let Ok(index) = index.parse::<u64>() else { continue };
-            let new = || (content.to_string(), gateway.to_string());
-            let (first, first_gateway) = self.entries.entry(index).or_insert_with(new);
+            let new_entry = || (content.to_string(), gateway.to_string());
+            let (first, first_gateway) = self.entries.entry(index).or_insert_with(new_entry);
             if first != content {
                 let observed = format!("index {index}: {first_gateway} has '{first}', {gateway} '{content}'");
-                found.push(violation("one history", observed));
+                violations.push(violation("one history", observed));
             }
         }
-        found
+        violations
     }
 
     fn tokens_out_of_order(&self) -> Vec<Violation> {
@@ -299,31 +326,32 @@
         pairs.map(|pair| violation("tokens in order", format!("{pair:?}"))).collect()
     }
 
-    fn holds(&self, index: u64, value: &str) -> bool {
+    fn contains(&self, index: u64, value: &str) -> bool {
         let value = format!("value=\"{value}\"");
         self.entries.get(&index).is_some_and(|(content, _)| content.contains(&value))
     }
 }
 
-/// The fencing token of an entry: its two numbers.
+/// Parses the fencing token of an entry: term and index.
 fn token(content: &str) -> Option<(u64, u64)> {
     let (term, index) = content.strip_prefix("token=")?.split(' ').next()?.split_once('.')?;
     Some((term.parse().ok()?, index.parse().ok()?))
 }
 
-/// After the end all views agree, and gateways that got SIGTERM are known to have left.
+/// Returns the violations of membership at the end: views that disagree, and gateways that were sent SIGTERM and are
+/// not recorded as `left` by every other one.
 pub fn membership_violations(
     disagreement: Option<String>,
     views: &BTreeMap<String, Value>,
     terminated: &BTreeSet<String>,
 ) -> Vec<Violation> {
-    let mut found = Vec::from_iter(disagreement.map(|problem| violation("views agree", problem)));
+    let mut violations = Vec::from_iter(disagreement.map(|problem| violation("views agree", problem)));
     for (observer, view) in views {
         for name in terminated.iter().filter(|name| member_state(view, name) != Some("left")) {
             let observed = member_state(view, name).unwrap_or("unknown");
-            found.push(violation("leaves are told", format!("{observer} holds {name} for {observed}")));
+            violations.push(violation("leaves are told", format!("{observer} has {name} as {observed}")));
         }
     }
-    found.truncate(MAX_VIOLATIONS_PER_KIND);
-    found
+    violations.truncate(MAX_VIOLATIONS_PER_CHECK);
+    violations
 }
--- a/crates/lab/src/defective_gateway.rs
+++ b/crates/lab/src/defective_gateway.rs
@@ -1,5 +1,7 @@
-//! A gateway with a defect on purpose, in one way at a time, so that each check can be seen to catch what it is for.
-//! It passes requests on without any decision; with no defect named it breaks no rule at a light load.
+//! A minimal gateway with one deliberate defect, used to test that each check detects the fault it is meant for.
+//!
+//! It forwards requests without any admission or balancing decision. With the defect `none` it violates no check at a
+//! light load.
 
 use crate::http::{self, HttpError};
 use bytes::Bytes;
@@ -15,55 +17,56 @@
 use tokio::signal::unix::{signal, SignalKind};
 use tokio::task::spawn_local;
 
-/// What it leaks with each request, in bytes.
-const LEAK_BYTES: usize = 1 << 20;
+/// The memory leaked with each request by the defect `leaks`.
+const LEAKED_BYTES_PER_REQUEST: usize = 1 << 20;
 
-/// Why the defective gateway could not run, or not forward a request.
+/// An error of the defective gateway.
 #[derive(Debug, thiserror::Error)]
 pub enum DefectiveGatewayError {
-    /// It could not listen.
+    /// A socket could not be opened or used.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// Discovery or a backend failed.
+    /// A request to discovery or to a backend failed.
     #[error(transparent)]
     Http(#[from] HttpError),
-    /// The endpoint list is not JSON.
+    /// The endpoint list is not valid JSON.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// Its file names no discovery.
-    #[error("no discovery")]
+    /// The configuration has no valid discovery address.
+    #[error("configuration has no valid address in `discovery`")]
     NoDiscovery,
-    /// The endpoint list names no backend that takes requests.
-    #[error("no backend")]
+    /// The endpoint list has no ready backend.
+    #[error("endpoint list has no ready backend")]
     NoBackend,
     /// The request line has no valid method.
-    #[error("no method")]
+    #[error("request line has no valid method")]
     InvalidMethod,
 }
 
 struct DefectiveGateway {
-    /// `none`, `answers_twice`, `runs_twice`, `forges`, `keeps_drained`, `leaks`, `crashes` or `hangs_up`.
+    /// One of `none`, `answers_twice`, `runs_twice`, `forges`, `keeps_drained`, `leaks`, `crashes` or `hangs_up`.
     defect: String,
     discovery: SocketAddr,
     initial_backends: Vec<SocketAddr>,
     leaked: RefCell<Vec<Vec<u8>>>,
-    served: RefCell<u64>,
+    requests_served: RefCell<u64>,
 }
 
-/// Runs a defective gateway with a gateway's file, in which `broken` names the defect, until SIGTERM.
+/// Runs a defective gateway until SIGTERM. `config` is a gateway's configuration with the name of the defect in
+/// `broken`.
 pub async fn run(config: &Value) -> Result<(), DefectiveGatewayError> {
     let discovery = config["discovery"]
         .as_str()
-        .and_then(|at| at.parse().ok())
+        .and_then(|address| address.parse().ok())
         .ok_or(DefectiveGatewayError::NoDiscovery)?;
-    let socket = UdpSocket::bind("127.0.0.1:0").await?;
+    let membership = UdpSocket::bind("127.0.0.1:0").await?;
     let admin = TcpListener::bind("127.0.0.1:0").await?;
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let defect = config["broken"].as_str().unwrap_or("none").to_string();
     let initial_backends = ready_backends(discovery).await?;
-    let (leaked, served) = Default::default();
-    let gateway = Rc::new(DefectiveGateway { defect, discovery, initial_backends, leaked, served });
-    eprintln!("joining the fleet listen={}", socket.local_addr()?);
+    let (leaked, requests_served) = Default::default();
+    let gateway = Rc::new(DefectiveGateway { defect, discovery, initial_backends, leaked, requests_served });
+    eprintln!("joining the fleet listen={}", membership.local_addr()?);
     eprintln!("the operators' door is open address={}", admin.local_addr()?);
     eprintln!("listening address={}", listener.local_addr()?);
     let mut terminate = signal(SignalKind::terminate())?;
@@ -73,12 +76,12 @@
             _ = terminate.recv() => return Ok(()),
         };
         let gateway = gateway.clone();
-        // A client that breaks off is served no further.
-        spawn_local(async move { gateway.connection(stream).await.unwrap_or_default() });
+        // Errors of a client's connection only end that connection.
+        spawn_local(async move { gateway.serve_connection(stream).await.unwrap_or_default() });
     }
 }
 
-/// The backends that the endpoint list has as ready.
+/// Fetches the endpoint list and returns the addresses of its ready backends.
 async fn ready_backends(discovery: SocketAddr) -> Result<Vec<SocketAddr>, DefectiveGatewayError> {
     let (_, body) = http::get(discovery, "/catalog/members").await?;
     let list: Value = serde_json::from_slice(&body)?;
@@ -87,7 +90,7 @@
 }
 
 impl DefectiveGateway {
-    async fn connection(&self, stream: TcpStream) -> io::Result<()> {
+    async fn serve_connection(&self, stream: TcpStream) -> io::Result<()> {
         let mut stream = BufReader::new(stream);
         loop {
             let mut head = Vec::new();
@@ -101,43 +104,48 @@
                     line => head.push(line.to_string()),
                 }
             }
-            let line = head.first().cloned().unwrap_or_default();
-            if line.contains("/_health") {
+            let request_line = head.first().cloned().unwrap_or_default();
+            if request_line.contains("/_health") {
                 stream.get_mut().write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await?;
                 continue;
             }
-            let name = |line: &String| Some(line.split_once(": ")?.1.to_string()).filter(|_| call_id(line));
-            let call = head.iter().find_map(name).unwrap_or_default();
-            let served = self.served.replace_with(|served| *served + 1);
+            let id_of =
+                |line: &String| Some(line.split_once(": ")?.1.to_string()).filter(|_| is_call_id(line));
+            let request_id = head.iter().find_map(id_of).unwrap_or_default();
+            let served_before = self.requests_served.replace_with(|served| *served + 1);
             match self.defect.as_str() {
-                "crashes" if served == 5 => std::process::exit(3),
-                "hangs_up" if served % 5 == 4 => return Ok(()),
-                "leaks" => self.leaked.borrow_mut().push(vec![1; LEAK_BYTES]),
+                "crashes" if served_before == 5 => std::process::exit(3),
+                "hangs_up" if served_before % 5 == 4 => return Ok(()),
+                "leaks" => self.leaked.borrow_mut().push(vec![1; LEAKED_BYTES_PER_REQUEST]),
                 _ => {}
             }
-            let answer = match self.forward(&line, &call).await {
+            let response = match self.forward(&request_line, &request_id).await {
                 Ok((status, body)) => {
                     format!("HTTP/1.1 {status} -\r\nContent-Length: {}\r\n\r\n{body}", body.len())
                 }
                 Err(_) => "HTTP/1.1 502 -\r\nContent-Length: 0\r\n\r\n".to_string(),
             };
-            let times = if self.defect == "answers_twice" { 2 } else { 1 };
-            stream.get_mut().write_all(answer.repeat(times).as_bytes()).await?;
+            let copies = if self.defect == "answers_twice" { 2 } else { 1 };
+            stream.get_mut().write_all(response.repeat(copies).as_bytes()).await?;
         }
     }
 
-    async fn forward(&self, line: &str, call: &str) -> Result<(u16, String), DefectiveGatewayError> {
+    async fn forward(
+        &self,
+        request_line: &str,
+        request_id: &str,
+    ) -> Result<(u16, String), DefectiveGatewayError> {
         let current_list = ready_backends(self.discovery).await?;
         let backends = if self.defect == "keeps_drained" { &self.initial_backends } else { &current_list };
-        let index = call.bytes().map(usize::from).sum::<usize>() % backends.len().max(1);
+        let index = request_id.bytes().map(usize::from).sum::<usize>() % backends.len().max(1);
         let backend = *backends.get(index).ok_or(DefectiveGatewayError::NoBackend)?;
-        let mut words = line.split(' ');
-        let (method, path) = (words.next().unwrap_or("GET"), words.next().unwrap_or("/"));
+        let mut parts = request_line.split(' ');
+        let (method, path) = (parts.next().unwrap_or("GET"), parts.next().unwrap_or("/"));
         let method: Method = method.parse().map_err(|_| DefectiveGatewayError::InvalidMethod)?;
         let send = || async {
             let mut sender = http::connect(backend, |_| ()).await?;
             let request = Request::builder().method(method.clone()).uri(path).header("Host", "lab");
-            let request = request.header("X-Call-Id", call).body(Full::<Bytes>::default());
+            let request = request.header("X-Call-Id", request_id).body(Full::<Bytes>::default());
             http::collect(sender.send_request(request?).await?).await
         };
         if self.defect == "runs_twice" {
@@ -145,12 +153,13 @@
         }
         let (status, body) = send().await?;
         match self.defect.as_str() {
-            "forges" => Ok((status, format!("{call} nobody 1"))),
+            "forges" => Ok((status, format!("{request_id} nobody 1"))),
             _ => Ok((status, String::from_utf8_lossy(&body).into_owned())),
         }
     }
 }
 
-fn call_id(line: &str) -> bool {
+/// Returns whether a line of the head is the `X-Call-Id` header.
+fn is_call_id(line: &str) -> bool {
     line.to_ascii_lowercase().starts_with("x-call-id: ")
 }
--- a/crates/lab/src/experiment.rs
+++ b/crates/lab/src/experiment.rs
@@ -1,4 +1,4 @@
-//! Experiment files: a fleet, its load, a timeline of faults, and the checks that must hold.
+//! Parses and validates experiment files: a fleet, its load, a timeline of actions, and the bounds of the checks.
 
 use crate::links::Fault;
 use crate::load::Load;
@@ -6,56 +6,56 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The most gateways of an experiment.
+/// The maximum number of gateways in an experiment.
 const MAX_GATEWAYS: usize = 60;
-/// The most backends of an experiment.
+/// The maximum number of backends in an experiment.
 const MAX_BACKENDS: usize = 200;
-/// The longest load, in seconds.
+/// The maximum duration of the load, in seconds.
 const MAX_SECONDS: f64 = 3_600.0;
-/// The highest rate of a load.
+/// The maximum request rate that an experiment file may set.
 const MAX_REQUESTS_PER_SECOND: f64 = 5_000.0;
 
-/// Why a text is not an experiment.
+/// An error in an experiment file.
 #[derive(Debug, thiserror::Error)]
 pub enum ExperimentError {
-    /// It is not TOML, or has an unknown key or a value of another type.
+    /// The text is not valid TOML, has an unknown key, or has a value of the wrong type.
     #[error(transparent)]
     Syntax(#[from] toml::de::Error),
-    /// A value is not allowed.
-    #[error("{key}: {expected}")]
+    /// A value is out of range or inconsistent with another one.
+    #[error("invalid `{key}`: {expected}")]
     Invalid {
-        /// The key.
+        /// The key, as a dotted path.
         key: &'static str,
-        /// What was expected.
+        /// The values that are allowed.
         expected: &'static str,
     },
 }
 
-/// An experiment.
+/// A parsed and validated experiment file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Experiment {
-    /// What it shows.
+    /// A description of what the experiment demonstrates.
     pub shows: String,
-    /// From which load, service times and chances are drawn.
+    /// The seed of the random numbers behind the load, the service times and the link faults.
     #[serde(default = "default_seed")]
     pub seed: u64,
-    /// How long requests come, in seconds.
+    /// The duration of the load, in seconds.
     pub seconds: f64,
     /// The zones of each region.
     pub regions: BTreeMap<String, Vec<String>>,
-    /// The gateways.
+    /// The fleet of gateways.
     pub gateways: Gateways,
-    /// The backends.
+    /// The simulated backends.
     #[serde(default)]
     pub backends: Backends,
-    /// The load.
+    /// The load that clients generate.
     #[serde(default)]
     pub load: Load,
-    /// The actions, in the order of their times.
+    /// The actions to apply, ordered by time.
     #[serde(default)]
     pub timeline: Vec<Step>,
-    /// The bounds of the checks.
+    /// The bounds that the checks apply.
     #[serde(default)]
     pub checks: Checks,
 }
@@ -64,41 +64,41 @@
     1
 }
 
-/// The gateways: `g0`, `g1`, over the zones in turn.
+/// The gateways, named `g0`, `g1` and so on, and assigned to the zones round-robin.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Gateways {
-    /// How many.
+    /// The number of gateways.
     pub count: usize,
-    /// The period of their membership probes.
+    /// The interval between membership probes, in milliseconds.
     #[serde(default = "default_probe_ms")]
     pub probe_ms: u64,
-    /// How long one must be gone before the quota shares of the others grow.
+    /// How long a gateway must be absent before the quota shares of the others grow, in milliseconds.
     #[serde(default = "default_hold_ms")]
     pub hold_ms: u64,
-    /// Without it they have no `fleet` section.
+    /// Whether the gateways' configuration has a `fleet` section.
     #[serde(default = "default_fleet")]
     pub fleet: bool,
-    /// How far each one's clock is ahead of the machine's, in milliseconds, by name.
+    /// The offset of each gateway's clock from the machine's, in milliseconds, keyed by gateway name.
     #[serde(default)]
     pub clock_ahead_ms: BTreeMap<String, i64>,
-    /// The fleet document; without it they have no `fleet.plan` section.
+    /// The settings of the fleet document. Without them the configuration has no `fleet.plan` section.
     pub plan: Option<ReplicationSettings>,
 }
 
-/// The fleet document: `g0`, `g1` and on vote.
+/// The settings of the replicated fleet document. The voters are the first gateways: `g0`, `g1` and so on.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ReplicationSettings {
-    /// How many vote: 1, 3 or 5.
+    /// The number of voters: 1, 3 or 5.
     pub voters: usize,
-    /// A tick of the voters.
+    /// The interval between the voters' ticks, in milliseconds.
     pub tick_ms: u64,
-    /// How long a lease lasts without a renewal.
+    /// How long a lease is valid without a renewal, in milliseconds.
     pub lease_ms: u64,
-    /// How long the last document is trusted without a heartbeat of a leader, in seconds.
+    /// How long the last document is trusted without a heartbeat from a leader, in seconds.
     pub trust_s: u64,
-    /// How long its trust then takes to decline to zero, in seconds.
+    /// How long the trust then takes to decline to zero, in seconds.
     pub ramp_s: u64,
 }
 
@@ -118,21 +118,21 @@
     true
 }
 
-/// The backends: `b0`, `b1`, over the zones in turn.
+/// The backends, named `b0`, `b1` and so on, and assigned to the zones round-robin.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Backends {
-    /// How many.
+    /// The number of backends.
     pub count: usize,
-    /// Requests that each works on at once.
+    /// The number of requests that a backend serves concurrently.
     pub slots: usize,
-    /// Requests that wait for a slot.
+    /// The number of requests that may wait for a slot.
     pub waiting: usize,
-    /// The mean time of service.
+    /// The mean service time, in milliseconds.
     pub mean_ms: u64,
-    /// How long one warms up after a start.
+    /// How long a backend warms up after a restart, in milliseconds.
     pub cold_ms: u64,
-    /// The share of its speed that it starts with.
+    /// The share of its full speed at which a restarted backend begins.
     pub cold_from: f64,
 }
 
@@ -142,83 +142,83 @@
     }
 }
 
-/// An action and its time.
+/// An action of the timeline and its time.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Step {
-    /// When, in seconds since the load began.
+    /// When the action is applied, in seconds since the load started.
     pub at: f64,
-    /// The action.
+    /// The action to apply.
     pub act: Action,
 }
 
-/// Parties: names such as `g0` and `b1`, `counter`, `discovery`, or all of `zone:a`, `region:north`, `gateways`,
-/// `backends`.
+/// Selects parties: single ones such as `g0`, `b1`, `counter` and `discovery`, or groups: `zone:a`, `region:north`,
+/// `gateways` and `backends`.
 pub type Parties = Vec<String>;
 
-/// An action on a fleet. Unknown names are an error.
+/// An action on a running fleet. Unknown keys and party names are errors.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum Action {
-    /// SIGKILL, or for stand-ins an end without a drain.
+    /// Kills the parties: gateways by SIGKILL, stand-ins by closing their listener and connections without a drain.
     Kill(Parties),
-    /// SIGTERM to gateways.
+    /// Sends SIGTERM to gateways.
     Terminate(Parties),
-    /// Starts what does not run: backends cold, the counter with what it held.
+    /// Starts parties that are not running: backends cold, the counter with its previous totals.
     Start(Parties),
-    /// SIGTERM, the end, and a start, one after the other.
+    /// Restarts gateways one after the other: SIGTERM, wait for the exit, start.
     Roll(Parties),
-    /// SIGSTOP to gateways.
+    /// Sends SIGSTOP to gateways.
     Stop(Parties),
-    /// SIGCONT to gateways.
+    /// Sends SIGCONT to gateways.
     Resume(Parties),
-    /// SIGHUP to gateways.
+    /// Writes the configuration of gateways and sends SIGHUP to them.
     Reload(Parties),
-    /// The endpoint list has these backends as draining.
+    /// Marks backends as draining in the endpoint list.
     Drain(Parties),
-    /// The endpoint list has them as ready again.
+    /// Marks backends as ready again in the endpoint list.
     Undrain(Parties),
-    /// Backends take several times as long.
+    /// Multiplies the service time of backends.
     Slow {
-        /// Which.
+        /// The backends.
         who: Parties,
-        /// How many times.
+        /// The factor.
         times: f64,
     },
-    /// Backends answer 500 at once.
+    /// Makes backends respond with status 500 at once.
     Fail(Parties),
-    /// Backends do not respond.
+    /// Makes backends accept requests and never respond.
     Freeze(Parties),
-    /// Backends have no fault any more.
+    /// Removes the faults of backends.
     Cure(Parties),
-    /// The counter loses all totals.
+    /// Clears all totals of the counter.
     Forget,
-    /// The links from these to those have this fault, one way.
+    /// Sets the fault of the links from some parties to others, in that direction only.
     Link {
-        /// From which,
+        /// The senders.
         from: Parties,
-        /// to which.
+        /// The receivers.
         to: Parties,
-        /// The fault.
+        /// The fault to set.
         fault: Fault,
     },
-    /// Only parties of one group reach each other; those in none reach all.
+    /// Cuts the links between groups. Parties in no group stay connected to all others.
     Partition(Vec<Parties>),
-    /// No link has a fault any more.
+    /// Removes the faults of all links.
     Heal,
-    /// An item of the fleet document is proposed, to one gateway after the other until one decides.
+    /// Proposes an item of the fleet document, to one gateway after the other until one returns a decision.
     Propose {
-        /// The section.
+        /// The section of the document.
         section: String,
-        /// The item.
+        /// The key of the item.
         key: String,
-        /// What it is to hold.
+        /// The new value of the item.
         value: String,
     },
 }
 
 impl Action {
-    /// The parties that it names.
+    /// Returns the party lists that the action names.
     pub fn parties(&mut self) -> Vec<&mut Parties> {
         match self {
             Action::Kill(parties)
@@ -241,21 +241,21 @@
     }
 }
 
-/// The bounds of the checks.
+/// The bounds that the checks apply.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Checks {
-    /// The largest share of units forwarded beyond the customers' quotas, of those within.
+    /// The largest allowed ratio of units forwarded beyond the customers' quotas to units within them.
     pub beyond_quota: f64,
-    /// Memory of a gateway in MiB.
+    /// The largest allowed resident memory of a gateway, in MiB.
     pub memory_mb: u64,
-    /// Descriptors of a gateway.
+    /// The largest allowed number of open file descriptors of a gateway.
     pub descriptors: usize,
-    /// How long after the end all views must agree, in seconds.
+    /// How long after the end of the load all views must agree, in seconds.
     pub agree_within: f64,
-    /// The share of requests inside their quotas that must be served.
+    /// The share of requests that must be served.
     pub served: f64,
-    /// How many proposals to the plan must have been agreed on.
+    /// The number of proposals to the fleet document that must have been accepted.
     pub proposals: usize,
 }
 
@@ -273,7 +273,7 @@
 }
 
 impl Experiment {
-    /// Reads a file's text, and validates it.
+    /// Parses and validates the text of an experiment file.
     pub fn parse(text: &str) -> Result<Experiment, ExperimentError> {
         let experiment: Experiment = toml::from_str(text)?;
         experiment.validate()?;
@@ -281,37 +281,41 @@
     }
 
     fn validate(&self) -> Result<(), ExperimentError> {
-        let plan = self.gateways.plan.as_ref();
+        let replication = self.gateways.plan.as_ref();
         let require = |valid: bool, key: &'static str, expected: &'static str| match valid {
             true => Ok(()),
             false => Err(ExperimentError::Invalid { key, expected }),
         };
-        require(!self.zones().is_empty(), "regions", "expected a zone at least")?;
+        require(!self.zones().is_empty(), "regions", "expected at least one zone")?;
         require((1..=MAX_GATEWAYS).contains(&self.gateways.count), "gateways.count", "expected 1 to 60")?;
         require(
-            plan.is_none_or(|plan| plan.voters <= self.gateways.count),
+            replication.is_none_or(|replication| replication.voters <= self.gateways.count),
             "gateways.plan.voters",
             "expected no more than gateways.count",
         )?;
         require((1..=MAX_BACKENDS).contains(&self.backends.count), "backends.count", "expected 1 to 200")?;
-        require(self.seconds > 0.0 && self.seconds <= MAX_SECONDS, "seconds", "expected up to 3600")?;
+        require(
+            self.seconds > 0.0 && self.seconds <= MAX_SECONDS,
+            "seconds",
+            "expected more than 0 and at most 3600",
+        )?;
         require(
             (0.0..=MAX_REQUESTS_PER_SECOND).contains(&self.load.rate),
             "load.rate",
             "expected 0 to 5000",
         )?;
         let in_order = !self.timeline.windows(2).any(|pair| pair[0].at > pair[1].at);
-        require(in_order, "timeline", "out of order")?;
-        let within = self.timeline.iter().all(|step| step.at >= 0.0 && step.at <= self.seconds);
-        require(within, "timeline", "expected times from 0 to seconds")
+        require(in_order, "timeline", "expected steps in ascending order of `at`")?;
+        let in_span = self.timeline.iter().all(|step| step.at >= 0.0 && step.at <= self.seconds);
+        require(in_span, "timeline", "expected each `at` between 0 and `seconds`")
     }
 
-    /// All zones, in the order of their regions.
+    /// Returns all zones, ordered by region name.
     pub fn zones(&self) -> Vec<String> {
         self.regions.values().flatten().cloned().collect()
     }
 
-    /// How long requests come.
+    /// Returns the duration of the load.
     pub fn span(&self) -> Duration {
         Duration::from_secs_f64(self.seconds)
     }
--- a/crates/lab/src/gateway.rs
+++ b/crates/lab/src/gateway.rs
@@ -1,4 +1,4 @@
-//! One gateway as a real process: its file, its log, its signals and its end.
+//! Runs one gateway as a child process: configuration file, log, signals and exit.
 
 use crate::http::{self, HttpError};
 use crate::links::SharedAddress;
@@ -17,94 +17,94 @@
 use tokio::task::spawn_local;
 use tokio::time::{timeout, Instant};
 
-/// How long a start may take.
+/// How long to wait for each startup line in the log.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
-/// Lines of a log that are buffer in memory; all of them are in its file.
-const MAX_LOG_LINES: usize = 2_000;
+/// The maximum number of log lines kept in memory; the log file has all of them.
+const MAX_BUFFERED_LOG_LINES: usize = 2_000;
 
-/// Why something failed at a gateway's process.
+/// An error with a gateway's process.
 #[derive(Debug, thiserror::Error)]
 pub enum GatewayError {
-    /// It can't be started twice.
-    #[error("{0} runs already")]
+    /// The process was running already at a start.
+    #[error("gateway {0} is already running")]
     AlreadyRunning(String),
-    /// It has no process to signal.
-    #[error("{0} does not run")]
+    /// There is no process to signal.
+    #[error("gateway {0} is not running")]
     NotRunning(String),
-    /// Its files could not be written, or its process not be started.
-    #[error("{gateway}: {source}")]
+    /// A file could not be written, or the process could not be started.
+    #[error("gateway {gateway}: I/O error: {source}")]
     Io {
         /// The gateway.
         gateway: String,
         /// The cause.
         source: std::io::Error,
     },
-    /// Its process has no standard error to read the log from.
-    #[error("{0}: no log")]
+    /// The process has no standard error to read the log from.
+    #[error("gateway {0}: standard error was not captured")]
     NoLog(String),
-    /// A line of its log names no address.
-    #[error("{gateway}: no address in '{line}'")]
+    /// A startup line of the log contains no address.
+    #[error("gateway {gateway}: no address in log line '{line}'")]
     NoAddress {
         /// The gateway.
         gateway: String,
         /// The line.
         line: String,
     },
-    /// Its process ended before it logged a line.
-    #[error("{gateway} ended before '{line}': {last}")]
+    /// The process exited before it logged an expected line.
+    #[error("gateway {gateway} exited before it logged '{line}'; last line: {last}")]
     EndedBeforeLine {
         /// The gateway.
         gateway: String,
-        /// What the line contains.
+        /// The text that the expected line contains.
         line: String,
-        /// The last line that it logged.
+        /// The last line that the gateway logged.
         last: String,
     },
-    /// It did not log a line in time.
-    #[error("{gateway}: no line with '{line}' in {timeout:?}")]
+    /// The gateway did not log an expected line in time.
+    #[error("gateway {gateway} did not log '{line}' within {timeout:?}")]
     NoLine {
         /// The gateway.
         gateway: String,
-        /// What the line contains.
+        /// The text that the expected line contains.
         line: String,
-        /// How long it was waited for.
+        /// The time limit.
         timeout: Duration,
     },
-    /// Its process could not be signalled.
-    #[error("{gateway}: {source}")]
+    /// A signal could not be sent to the process.
+    #[error("gateway {gateway}: cannot send signal: {source}")]
     Signal {
         /// The gateway.
         gateway: String,
         /// The cause.
         source: nix::errno::Errno,
     },
-    /// Its admin address could not be queried.
+    /// A request to the admin address failed.
     #[error(transparent)]
     Http(#[from] HttpError),
-    /// Its admin address answered with another status than 200.
-    #[error("{gateway}: {path} answered {status}")]
+    /// The admin address responded with a status other than 200.
+    #[error("gateway {gateway}: expected status 200 from {path}, got {status}")]
     Status {
         /// The gateway.
         gateway: String,
-        /// The path.
+        /// The requested path.
         path: String,
-        /// The status.
+        /// The status of the response.
         status: u16,
     },
-    /// Its answer is not JSON.
-    #[error("{gateway}: {source}")]
+    /// A response of the admin address is not valid JSON.
+    #[error("gateway {gateway}: invalid JSON: {source}")]
     Json {
         /// The gateway.
         gateway: String,
         /// The cause.
         source: serde_json::Error,
     },
-    /// Its metrics lack one.
-    #[error("{gateway}: no figure {metric}")]
+    /// The metrics lack the requested one.
+    #[error("gateway {gateway} does not export metric {metric}")]
     NoMetric {
         /// The gateway.
         gateway: String,
-        /// The name of the metric.
+        /// The name and labels of the metric.
         metric: String,
     },
 }
@@ -112,24 +112,24 @@
 /// The state of a gateway's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessState {
-    /// Not started, or ended as it should.
+    /// Not started, killed, or exited as expected.
     Stopped,
-    /// It runs.
+    /// Running.
     Running,
-    /// It got SIGTERM and has not ended yet.
+    /// Sent SIGTERM and not exited yet.
     Terminating,
 }
 
-/// A span in which a gateway was killed or stopped and owes no responses, since the rig began.
+/// A period in which a gateway was killed or stopped and need not respond, as times since the rig started.
 #[derive(Clone, Copy, Debug)]
 pub struct Outage {
-    /// From here on,
+    /// The start of the period.
     pub from: Duration,
-    /// to here.
+    /// The end of the period; `Duration::MAX` while the gateway is stopped.
     pub to: Duration,
 }
 
-/// What a process uses of the machine.
+/// The resources that a process uses.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ResourceUsage {
     /// Resident memory, in bytes.
@@ -139,7 +139,7 @@
 }
 
 impl ResourceUsage {
-    /// The larger of each.
+    /// Returns the larger value of each resource.
     pub fn max(self, other: ResourceUsage) -> ResourceUsage {
         ResourceUsage {
             memory_bytes: self.memory_bytes.max(other.memory_bytes),
@@ -148,42 +148,42 @@
     }
 }
 
-/// A gateway.
+/// A gateway process and what the rig records about it.
 pub struct Gateway {
-    /// Its name.
+    /// The gateway's name.
     pub name: String,
-    /// Its zone.
+    /// The gateway's zone.
     pub zone: String,
-    /// The address that it announces to the others.
+    /// The address that the gateway advertises to the others.
     pub advertised: SocketAddr,
-    /// Where clients reach it.
+    /// The address on which the gateway accepts client connections.
     pub client_address: SharedAddress,
-    /// Its admin address.
+    /// The address of the admin interface.
     pub admin_address: SharedAddress,
-    /// Its membership socket.
+    /// The address of the membership socket.
     pub membership_address: SharedAddress,
-    /// Its replication listener.
+    /// The address of the replication listener.
     pub replication_address: SharedAddress,
-    /// The state of its process.
+    /// The state of the process.
     pub process_state: Cell<ProcessState>,
-    /// Unexpected ends of its process.
+    /// Descriptions of the unexpected exits of the process.
     pub crashes: RefCell<Vec<String>>,
-    /// When it was killed or stopped.
+    /// The periods in which the process was killed or stopped.
     pub outages: RefCell<Vec<Outage>>,
-    /// Starts so far.
+    /// The number of starts so far.
     pub incarnations: Cell<u32>,
-    /// The largest memory and number of descriptors that were sampled.
+    /// The largest sampled memory and the largest sampled number of descriptors.
     pub peak_usage: Cell<ResourceUsage>,
-    /// The program; another build may be put in its place before a start.
+    /// The path of the program; may be replaced by another build before a start.
     pub program: RefCell<PathBuf>,
-    /// Its configuration.
+    /// The configuration, written to the gateway's file by a start or reload.
     pub config: RefCell<Value>,
     directory: PathBuf,
     pid: Cell<Option<Pid>>,
-    ended: watch::Sender<u64>,
-    lines: Rc<RefCell<Vec<String>>>,
-    lines_read: watch::Sender<u64>,
-    began: Instant,
+    exits: watch::Sender<u64>,
+    log_lines: Rc<RefCell<Vec<String>>>,
+    log_lines_read: watch::Sender<u64>,
+    epoch: Instant,
 }
 
 fn unbound_address() -> SharedAddress {
@@ -191,14 +191,14 @@
 }
 
 impl Gateway {
-    /// One that does not run yet. Its file and logs go to `directory`.
+    /// Creates a gateway that is not running yet. Its configuration file and logs are written to `directory`.
     pub fn new(
         name: &str,
         zone: &str,
         advertised: SocketAddr,
         program: &Path,
         directory: &Path,
-        began: Instant,
+        epoch: Instant,
     ) -> Rc<Gateway> {
         Rc::new(Gateway {
             name: name.to_string(),
@@ -217,14 +217,14 @@
             config: RefCell::new(json!({})),
             directory: directory.to_path_buf(),
             pid: Cell::new(None),
-            ended: watch::Sender::new(0),
-            lines: Rc::default(),
-            lines_read: watch::Sender::new(0),
-            began,
+            exits: watch::Sender::new(0),
+            log_lines: Rc::default(),
+            log_lines_read: watch::Sender::new(0),
+            epoch,
         })
     }
 
-    /// Starts it and waits until it listens.
+    /// Starts the process and waits until it accepts connections.
     pub async fn start(self: &Rc<Self>) -> Result<(), GatewayError> {
         if self.process_state.get() != ProcessState::Stopped {
             return Err(GatewayError::AlreadyRunning(self.name.clone()));
@@ -246,22 +246,22 @@
         let Some(stderr) = child.stderr.take() else { return Err(GatewayError::NoLog(self.name.clone())) };
         self.pid.set(child.id().and_then(|id| i32::try_from(id).ok()).map(Pid::from_raw));
         self.process_state.set(ProcessState::Running);
-        self.lines.borrow_mut().clear();
+        self.log_lines.borrow_mut().clear();
         let path = self.directory.join(format!("{}-{incarnation}.log", self.name));
         let log = std::fs::File::create(path).map_err(|source| self.io_error(source))?;
-        let (lines, lines_read) = (self.lines.clone(), self.lines_read.clone());
-        let reading = spawn_local(read(BufReader::new(stderr), log, lines, lines_read));
+        let (log_lines, log_lines_read) = (self.log_lines.clone(), self.log_lines_read.clone());
+        let log_reader = spawn_local(read_log(BufReader::new(stderr), log, log_lines, log_lines_read));
         let gateway = self.clone();
-        spawn_local(async move { gateway.watch(child, reading).await });
-        let fleet = self.config.borrow().get("fleet").is_some();
-        let plan = self.config.borrow().pointer("/fleet/plan").is_some_and(Value::is_object);
+        spawn_local(async move { gateway.watch_process(child, log_reader).await });
+        let has_fleet = self.config.borrow().get("fleet").is_some();
+        let has_plan = self.config.borrow().pointer("/fleet/plan").is_some_and(Value::is_object);
         for (line, target) in [
             ("joining the fleet", &self.membership_address),
             ("plan: open", &self.replication_address),
             ("the operators' door is open", &self.admin_address),
             ("listening", &self.client_address),
         ] {
-            if line.contains("fleet") && !fleet || line.contains("plan") && !plan {
+            if line.contains("fleet") && !has_fleet || line.contains("plan") && !has_plan {
                 continue;
             }
             let line = self.wait_for_line(line, START_TIMEOUT).await?;
@@ -273,60 +273,60 @@
         Ok(())
     }
 
-    async fn watch(&self, mut child: Child, reading: tokio::task::JoinHandle<()>) {
+    async fn watch_process(&self, mut child: Child, log_reader: tokio::task::JoinHandle<()>) {
         let status = child.wait().await;
-        let _ = reading.await;
+        let _ = log_reader.await;
         let expected = match self.process_state.replace(ProcessState::Stopped) {
             ProcessState::Terminating => status.as_ref().is_ok_and(|status| status.success()),
-            // A kill sets it before.
+            // `kill` sets this state before it sends the signal.
             ProcessState::Stopped => true,
             ProcessState::Running => false,
         };
         if !expected {
-            let last = self.lines.borrow().last().cloned().unwrap_or_default();
-            let at = self.began.elapsed().as_secs_f64();
+            let last = self.log_lines.borrow().last().cloned().unwrap_or_default();
+            let at = self.epoch.elapsed().as_secs_f64();
             self.crashes.borrow_mut().push(format!("{} at {at:.2} s: {status:?}: {last}", self.name));
         }
         self.pid.set(None);
-        self.ended.send_modify(|ends| *ends += 1);
+        self.exits.send_modify(|exits| *exits += 1);
     }
 
-    /// The first line of its present log with this in it.
-    pub async fn wait_for_line(&self, part: &str, limit: Duration) -> Result<String, GatewayError> {
-        let mut lines_read = self.lines_read.subscribe();
-        let mut ended = self.ended.subscribe();
-        let finding = async {
+    /// Waits until the log of the current incarnation has a line that contains `text`, and returns the first such line.
+    pub async fn wait_for_line(&self, text: &str, limit: Duration) -> Result<String, GatewayError> {
+        let mut log_lines_read = self.log_lines_read.subscribe();
+        let mut exits = self.exits.subscribe();
+        let search = async {
             loop {
-                let found = self.lines.borrow().iter().find(|line| line.contains(part)).cloned();
+                let found = self.log_lines.borrow().iter().find(|line| line.contains(text)).cloned();
                 if let Some(line) = found {
                     return Ok(line);
                 }
-                // It may have ended before this was asked; its lines are all read by then.
+                // Without a process all its lines have been read already, so none can follow.
                 if self.pid.get().is_none() {
-                    let last = self.lines.borrow().last().cloned().unwrap_or_default();
-                    let (gateway, line) = (self.name.clone(), part.to_string());
+                    let last = self.log_lines.borrow().last().cloned().unwrap_or_default();
+                    let (gateway, line) = (self.name.clone(), text.to_string());
                     return Err(GatewayError::EndedBeforeLine { gateway, line, last });
                 }
                 tokio::select! {
-                    _ = lines_read.changed() => {}
-                    _ = ended.changed() => {}
+                    _ = log_lines_read.changed() => {}
+                    _ = exits.changed() => {}
                 }
             }
         };
-        timeout(limit, finding).await.unwrap_or_else(|_| {
-            let (gateway, line) = (self.name.clone(), part.to_string());
+        timeout(limit, search).await.unwrap_or_else(|_| {
+            let (gateway, line) = (self.name.clone(), text.to_string());
             Err(GatewayError::NoLine { gateway, line, timeout: limit })
         })
     }
 
-    /// Its process, where it runs.
+    /// Returns the id of the process if it is running.
     pub fn pid(&self) -> Option<i32> {
         self.pid.get().map(Pid::as_raw)
     }
 
-    /// How many lines of its present log have this in them.
-    pub fn lines_with(&self, part: &str) -> usize {
-        self.lines.borrow().iter().filter(|line| line.contains(part)).count()
+    /// Returns the number of buffered log lines of the current incarnation that contain `text`.
+    pub fn lines_with(&self, text: &str) -> usize {
+        self.log_lines.borrow().iter().filter(|line| line.contains(text)).count()
     }
 
     fn signal(&self, signal: Signal) -> Result<(), GatewayError> {
@@ -334,7 +334,7 @@
         kill(pid, signal).map_err(|source| GatewayError::Signal { gateway: self.name.clone(), source })
     }
 
-    /// Kills it (SIGKILL) and waits for its end.
+    /// Kills the process (SIGKILL) and waits until it has exited.
     pub async fn kill(&self) -> Result<(), GatewayError> {
         self.record_outage(Duration::ZERO);
         self.process_state.set(ProcessState::Stopped);
@@ -343,36 +343,40 @@
         Ok(())
     }
 
-    /// Sends SIGTERM; does not wait for the end.
+    /// Sends SIGTERM to the process without waiting for its exit.
     pub fn terminate(&self) -> Result<(), GatewayError> {
         self.process_state.set(ProcessState::Terminating);
         self.signal(Signal::SIGTERM)
     }
 
-    /// Waits until it has ended.
+    /// Waits until the process has exited.
     pub async fn wait_for_end(&self) {
-        let mut ended = self.ended.subscribe();
+        let mut exits = self.exits.subscribe();
         while self.pid.get().is_some() {
-            if ended.changed().await.is_err() {
+            if exits.changed().await.is_err() {
                 return;
             }
         }
     }
 
-    /// Stops its process (SIGSTOP).
+    /// Suspends the process (SIGSTOP).
     pub fn stop(&self) -> Result<(), GatewayError> {
         self.record_outage(Duration::MAX);
         self.signal(Signal::SIGSTOP)
     }
 
-    /// Resumes its process (SIGCONT).
+    /// Resumes the process (SIGCONT).
     pub fn resume(&self) -> Result<(), GatewayError> {
-        let now = self.began.elapsed();
-        self.outages.borrow_mut().iter_mut().filter(|e| e.to > now).for_each(|e| e.to = now);
+        let now = self.epoch.elapsed();
+        self.outages
+            .borrow_mut()
+            .iter_mut()
+            .filter(|outage| outage.to > now)
+            .for_each(|outage| outage.to = now);
         self.signal(Signal::SIGCONT)
     }
 
-    /// Writes its configuration and makes it reload (SIGHUP).
+    /// Writes the configuration file and makes the process reload it (SIGHUP).
     pub fn reload(&self) -> Result<(), GatewayError> {
         let file = self.directory.join(format!("{}.json", self.name));
         std::fs::write(file, self.config.borrow().to_string()).map_err(|source| self.io_error(source))?;
@@ -383,7 +387,7 @@
         GatewayError::Io { gateway: self.name.clone(), source }
     }
 
-    /// The value of one of its metrics, by the name and labels as they are printed.
+    /// Fetches the value of a metric, given by its name and labels as the gateway prints them.
     pub async fn metric(&self, metric: &str) -> Result<f64, GatewayError> {
         let (_, body) = http::get(self.admin_address.get(), "/metrics").await?;
         let body = String::from_utf8_lossy(&body);
@@ -391,32 +395,32 @@
         value.ok_or_else(|| GatewayError::NoMetric { gateway: self.name.clone(), metric: metric.to_string() })
     }
 
-    fn record_outage(&self, span: Duration) {
-        let from = self.began.elapsed();
-        self.outages.borrow_mut().push(Outage { from, to: from.saturating_add(span) });
+    fn record_outage(&self, duration: Duration) {
+        let from = self.epoch.elapsed();
+        self.outages.borrow_mut().push(Outage { from, to: from.saturating_add(duration) });
     }
 
-    /// Samples its memory and descriptors.
+    /// Samples the memory and descriptors of the process and updates the peak usage.
     pub fn sample(&self) {
         let Some(pid) = self.pid.get() else { return };
         let status = std::fs::read_to_string(format!("/proc/{pid}/status")).unwrap_or_default();
-        let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
-        let kib = line.and_then(|rest| rest.split_whitespace().next()?.parse::<u64>().ok()).unwrap_or(0);
+        let vm_rss = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
+        let kib = vm_rss.and_then(|rest| rest.split_whitespace().next()?.parse::<u64>().ok()).unwrap_or(0);
         let descriptors = std::fs::read_dir(format!("/proc/{pid}/fd")).map_or(0, |fds| fds.count());
         self.peak_usage
             .set(self.peak_usage.get().max(ResourceUsage { memory_bytes: kib * 1024, descriptors }));
     }
 
-    /// The CPU time that its running process has used, in seconds.
-    pub fn cpu(&self) -> Option<f64> {
+    /// Returns the CPU time that the running process has used, in seconds.
+    pub fn cpu_seconds(&self) -> Option<f64> {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.pid.get()?)).ok()?;
         let fields: Vec<&str> = stat.rsplit(')').next()?.split_whitespace().collect();
-        // Fields 14 and 15 of proc(5), in the hundredths of a second that Linux tells.
-        let ticks = |at: usize| fields.get(at)?.parse::<f64>().ok();
+        // Fields 14 and 15 of proc(5), utime and stime, which Linux reports in hundredths of a second.
+        let ticks = |index: usize| fields.get(index)?.parse::<f64>().ok();
         Some((ticks(11)? + ticks(12)?) / 100.0)
     }
 
-    /// Gets JSON from a path of its admin address.
+    /// Fetches JSON from a path of the admin address.
     pub async fn get_json(&self, path: &str) -> Result<Value, GatewayError> {
         let (status, body) = http::get(self.admin_address.get(), path).await?;
         match status {
@@ -429,22 +433,23 @@
     }
 }
 
-async fn read(
+/// Copies a process's log to its file and to a buffer of recent lines.
+async fn read_log(
     stderr: BufReader<tokio::process::ChildStderr>,
     mut log: std::fs::File,
     buffer: Rc<RefCell<Vec<String>>>,
-    lines_read: watch::Sender<u64>,
+    log_lines_read: watch::Sender<u64>,
 ) {
     use std::io::Write;
     let mut lines = stderr.lines();
     while let Ok(Some(line)) = lines.next_line().await {
-        // A full disk loses a log and no experiment.
+        // Ignored so that a full disk costs log lines and does not fail the experiment.
         let _ = writeln!(log, "{line}");
         let mut buffer = buffer.borrow_mut();
-        if buffer.len() >= MAX_LOG_LINES {
-            buffer.drain(..MAX_LOG_LINES / 2);
+        if buffer.len() >= MAX_BUFFERED_LOG_LINES {
+            buffer.drain(..MAX_BUFFERED_LOG_LINES / 2);
         }
         buffer.push(line);
-        lines_read.send_modify(|lines| *lines += 1);
+        log_lines_read.send_modify(|count| *count += 1);
     }
 }
--- a/crates/lab/src/http.rs
+++ b/crates/lab/src/http.rs
@@ -1,4 +1,4 @@
-//! The few lines of HTTP that stand-ins, load and checks share, over hyper.
+//! A small HTTP client and server on top of hyper, used by the stand-ins, the load and the rig.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
@@ -15,42 +15,44 @@
 use tokio::task::{spawn_local, JoinSet};
 use tokio::time::{sleep, timeout};
 
-/// The longest body that is read.
+/// The maximum size of a body that is read.
 const MAX_BODY_BYTES: usize = 4 << 20;
-/// How long a request to a gateway may take.
+/// The timeout of a request made with [`call`] or [`get`].
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Why an HTTP exchange failed.
+/// An error of an HTTP exchange.
 #[derive(Debug, thiserror::Error)]
 pub enum HttpError {
-    /// No connection.
+    /// The connection could not be opened.
     #[error(transparent)]
     Connect(#[from] std::io::Error),
-    /// The connection broke, or what came is not HTTP.
+    /// The connection broke, or received data that is not HTTP.
     #[error(transparent)]
     Connection(#[from] hyper::Error),
     /// The request is malformed.
     #[error(transparent)]
     Request(#[from] hyper::http::Error),
-    /// The body broke off or is too long.
-    #[error("{0}")]
+    /// The body ended early or is too large.
+    #[error("cannot read body: {0}")]
     Body(Box<dyn std::error::Error + Send + Sync>),
-    /// No response in time.
-    #[error("no answer in time")]
+    /// No complete response arrived in time.
+    #[error("no response within {REQUEST_TIMEOUT:?}")]
     Timeout,
 }
 
-/// A response with its body.
+/// A response with a complete body.
 pub type HttpResponse = Response<Full<Bytes>>;
 
-/// A response with this status and body.
+/// Builds a response with a status and body.
 pub fn response(status: StatusCode, body: impl Into<Bytes>) -> HttpResponse {
     let mut response = Response::new(Full::new(body.into()));
     *response.status_mut() = status;
     response
 }
 
-/// Serves a listener until the task ends, and with it every connection.
+/// Serves the connections of a listener. Ending the task closes the listener and all its connections.
+///
+/// A request for which the service returns `None` never gets a response.
 pub async fn serve<F, A>(listener: TcpListener, service: F)
 where
     F: Fn(Request<Incoming>) -> A + 'static,
@@ -62,7 +64,7 @@
         let stream = tokio::select! {
             accepted = listener.accept() => match accepted {
                 Ok((stream, _)) => stream,
-                // No descriptor is left, most likely; one comes back as connections end.
+                // Most likely the process has run out of descriptors, which are released as connections end.
                 Err(_) => {
                     sleep(Duration::from_millis(5)).await;
                     continue;
@@ -70,28 +72,29 @@
             },
             Some(_) = connections.join_next() => continue,
         };
-        // It fails only on a connection that is gone.
+        // Fails only on a closed connection.
         let _ = stream.set_nodelay(true);
         let service = service.clone();
         connections.spawn_local(async move {
-            let call = hyper::service::service_fn(move |request| {
-                let responding = service(request);
+            let service = hyper::service::service_fn(move |request| {
+                let response = service(request);
                 async move {
-                    match responding.await {
+                    match response.await {
                         Some(response) => Ok::<_, Infallible>(response),
-                        // It never responds.
+                        // The service withholds the response.
                         None => std::future::pending().await,
                     }
                 }
             });
-            // A client that breaks off gets no response.
-            let _ =
-                hyper::server::conn::http1::Builder::new().serve_connection(TokioIo::new(stream), call).await;
+            // Fails only if the client breaks the connection, and then there is no one to respond to.
+            let _ = hyper::server::conn::http1::Builder::new()
+                .serve_connection(TokioIo::new(stream), service)
+                .await;
         });
     }
 }
 
-/// Opens a connection; `on_error` is called if it ends with an error.
+/// Opens a connection. `on_error` is called if it ends with an error.
 pub async fn connect(
     address: SocketAddr,
     on_error: impl FnOnce(hyper::Error) + 'static,
@@ -107,19 +110,19 @@
     Ok(sender)
 }
 
-/// The status and body of a response.
+/// Reads the body of a response and returns it with the status.
 pub async fn collect(response: Response<Incoming>) -> Result<(u16, Bytes), HttpError> {
     let status = response.status().as_u16();
     let body = Limited::new(response.into_body(), MAX_BODY_BYTES).collect().await.map_err(HttpError::Body)?;
     Ok((status, body.to_bytes()))
 }
 
-/// Gets a path on a connection of its own.
+/// Sends a GET request on a new connection.
 pub async fn get(address: SocketAddr, path: &str) -> Result<(u16, Bytes), HttpError> {
     call(address, Method::GET, path, Bytes::new()).await
 }
 
-/// Calls a path on a connection of its own.
+/// Sends a request on a new connection.
 pub async fn call(
     address: SocketAddr,
     method: Method,
@@ -135,7 +138,7 @@
     timeout(REQUEST_TIMEOUT, exchange).await.unwrap_or_else(|_| Err(HttpError::Timeout))
 }
 
-/// Reads a body to its end.
+/// Reads a body to its end and discards it.
 pub async fn drain(body: Incoming) -> Result<(), HttpError> {
     Limited::new(body, MAX_BODY_BYTES).collect().await.map(drop).map_err(HttpError::Body)
 }
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,5 +1,7 @@
-//! The laboratory: fleets of real gateway processes on loopback, among stand-ins written from the protocol page, with
-//! faults between them, open-loop load, and checks made apart from the gateways' code.
+//! Test rig that runs fleets of real gateway processes on loopback.
+//!
+//! It provides simulated backends, counter and discovery written from the protocol's documentation, faults on the links
+//! between all parties, open-loop load, and checks that use none of the gateways' code.
 
 pub mod checks;
 pub mod defective_gateway;
--- a/crates/lab/src/links.rs
+++ b/crates/lab/src/links.rs
@@ -1,5 +1,7 @@
-//! The links between processes. Every path goes through a relay of the rig, by pair and direction, and a fault on a link
-//! is what its relay does. Parties are named: `g0`, `b3`, `counter`, `discovery`.
+//! Relays the traffic between parties and injects faults into it.
+//!
+//! Every pair of parties that communicate has a relay, and faults are set per pair and direction. Parties go by names
+//! such as `g0`, `b3`, `counter` and `discovery`.
 
 use serde::Deserialize;
 use socket2::SockRef;
@@ -16,51 +18,51 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// Where a party listens now; changes with its restarts.
+/// The address on which a party currently listens. Changes when the party restarts.
 pub type SharedAddress = Rc<Cell<SocketAddr>>;
 
-/// The fault of a link, one way.
+/// The fault of a link in one direction.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Fault {
-    /// Nothing goes through: datagrams are lost, connections stay open and silent, new ones never hear anything.
+    /// Nothing passes: datagrams are lost, connections stay open without data, and new ones receive nothing.
     pub cut: bool,
-    /// Connections are reset, new ones too; datagrams are lost.
+    /// Existing and new connections are reset, and datagrams are lost.
     pub reset: bool,
     /// The share of datagrams lost.
     pub drop: f64,
     /// The share of datagrams that arrive twice.
     pub duplicate: f64,
-    /// The share of datagrams that later ones overtake.
+    /// The share of datagrams that are held back so that later ones overtake them.
     pub reorder: f64,
-    /// The time on the way, in milliseconds.
+    /// The delay of the link, in milliseconds.
     pub delay_ms: u64,
-    /// The largest random addition to it, in milliseconds.
+    /// The maximum random addition to the delay, in milliseconds.
     pub jitter_ms: u64,
 }
 
-/// How much longer datagrams take that later ones overtake.
+/// The additional delay of datagrams that later ones are to overtake.
 const REORDER_DELAY: Duration = Duration::from_millis(40);
 
 struct LinkState {
     faults: HashMap<(String, String), Fault>,
     rng: fastrand::Rng,
-    /// Raised with each change, for those that wait.
+    /// Incremented with each change of a fault, to wake the relays.
     changed: watch::Sender<u64>,
 }
 
-/// All links of a rig.
+/// The links of a rig, with their faults.
 #[derive(Clone)]
 pub struct Links(Rc<RefCell<LinkState>>);
 
 impl Links {
-    /// Whole links, whose chances are drawn from the seed.
+    /// Creates links without faults. The seed determines their random choices.
     pub fn new(seed: u64) -> Links {
         let (faults, rng) = (HashMap::new(), fastrand::Rng::with_seed(seed));
         Links(Rc::new(RefCell::new(LinkState { faults, rng, changed: watch::Sender::new(0) })))
     }
 
-    /// Sets what the links from each of these to each of those do, that way only.
+    /// Sets the fault of the links from each sender to each receiver, in that direction only.
     pub fn set(&self, from: &BTreeSet<String>, to: &BTreeSet<String>, fault: Fault) {
         let mut state = self.0.borrow_mut();
         for (from, to) in from.iter().flat_map(|from| to.iter().map(move |to| (from, to))) {
@@ -71,7 +73,7 @@
         state.changed.send_modify(|changes| *changes += 1);
     }
 
-    /// All links are whole again.
+    /// Removes the faults of all links.
     pub fn heal(&self) {
         let mut state = self.0.borrow_mut();
         state.faults.clear();
@@ -83,8 +85,8 @@
         state.faults.get(&(from.to_string(), to.to_string())).copied().unwrap_or_default()
     }
 
-    fn chance(&self, share: f64) -> bool {
-        share > 0.0 && self.0.borrow_mut().rng.f64() < share
+    fn random_bool(&self, probability: f64) -> bool {
+        probability > 0.0 && self.0.borrow_mut().rng.f64() < probability
     }
 
     fn delay(&self, fault: &Fault) -> Duration {
@@ -96,68 +98,68 @@
         self.0.borrow().changed.subscribe()
     }
 
-    /// A relay of connections from one party to another; returns where the first reaches the second.
+    /// Starts a relay of connections from one party to another, and returns the address on which it listens.
     pub async fn tcp(&self, from: &str, to: &str, target: SharedAddress) -> io::Result<SocketAddr> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
         let (links, from, to) = (self.clone(), from.to_string(), to.to_string());
         spawn_local(async move {
             loop {
-                let Ok((near, _)) = listener.accept().await else {
+                let Ok((client, _)) = listener.accept().await else {
                     sleep(Duration::from_millis(5)).await;
                     continue;
                 };
                 let (links, from, to, target) = (links.clone(), from.clone(), to.clone(), target.clone());
-                spawn_local(async move { links.relay_connection(near, &from, &to, &target).await });
+                spawn_local(async move { links.relay_connection(client, &from, &to, &target).await });
             }
         });
         Ok(address)
     }
 
-    async fn relay_connection(&self, near: TcpStream, from: &str, to: &str, target: &SharedAddress) {
+    async fn relay_connection(&self, client: TcpStream, from: &str, to: &str, target: &SharedAddress) {
         let mut changes = self.changes();
         while self.fault(from, to).cut {
             if changes.changed().await.is_err() {
                 return;
             }
         }
-        let far = match self.fault(from, to).reset {
+        let server = match self.fault(from, to).reset {
             true => None,
             false => TcpStream::connect(target.get()).await.ok(),
         };
-        let Some(far) = far else { return reset(&near) };
-        // Without it small messages wait for each other; it fails only on a connection that is gone.
-        let _ = (near.set_nodelay(true), far.set_nodelay(true));
-        let _ = (SockRef::from(&near).set_linger(None), SockRef::from(&far).set_linger(None));
-        let (near_reads, near_writes) = near.into_split();
-        let (far_reads, far_writes) = far.into_split();
-        let there = self.relay_bytes(near_reads, far_writes, from, to);
-        let back = self.relay_bytes(far_reads, near_writes, to, from);
-        // What breaks one way ends both.
-        let _ = tokio::try_join!(there, back);
+        let Some(server) = server else { return reset(&client) };
+        // Without TCP_NODELAY small messages wait for each other. It fails only on a closed connection.
+        let _ = (client.set_nodelay(true), server.set_nodelay(true));
+        let _ = (SockRef::from(&client).set_linger(None), SockRef::from(&server).set_linger(None));
+        let (client_reader, client_writer) = client.into_split();
+        let (server_reader, server_writer) = server.into_split();
+        let requests = self.relay_bytes(client_reader, server_writer, from, to);
+        let responses = self.relay_bytes(server_reader, client_writer, to, from);
+        // An error in one direction ends both.
+        let _ = tokio::try_join!(requests, responses);
     }
 
-    /// Carries bytes one way until that way ends; an error where it breaks.
+    /// Relays bytes in one direction until the sender closes it. Returns an error if the connection breaks.
     async fn relay_bytes(
         &self,
-        mut reads: OwnedReadHalf,
-        mut writes: OwnedWriteHalf,
+        mut reader: OwnedReadHalf,
+        mut writer: OwnedWriteHalf,
         from: &str,
         to: &str,
     ) -> Result<(), ConnectionBroken> {
-        let reset_both = |reads: &OwnedReadHalf, writes: &OwnedWriteHalf| {
-            reset(reads.as_ref());
-            reset(writes.as_ref());
+        let reset_both = |reader: &OwnedReadHalf, writer: &OwnedWriteHalf| {
+            reset(reader.as_ref());
+            reset(writer.as_ref());
             Err(ConnectionBroken)
         };
         let mut changes = self.changes();
         let mut buffer = vec![0; 16 * 1024];
         loop {
             let read = tokio::select! {
-                read = reads.read(&mut buffer) => read,
+                read = reader.read(&mut buffer) => read,
                 Ok(()) = changes.changed() => {
                     if self.fault(from, to).reset {
-                        return reset_both(&reads, &writes);
+                        return reset_both(&reader, &writer);
                     }
                     continue;
                 }
@@ -170,27 +172,27 @@
                 fault = self.fault(from, to);
             }
             match read {
-                _ if fault.reset => return reset_both(&reads, &writes),
-                // The other side's end is passed on.
+                _ if fault.reset => return reset_both(&reader, &writer),
+                // The sender closed its direction: close it towards the receiver too.
                 Ok(0) => {
-                    let _ = writes.shutdown().await;
+                    let _ = writer.shutdown().await;
                     return Ok(());
                 }
-                Err(_) => return reset_both(&reads, &writes),
-                Ok(read) => {
+                Err(_) => return reset_both(&reader, &writer),
+                Ok(length) => {
                     let delay = self.delay(&fault);
                     if delay > Duration::ZERO {
                         sleep(delay).await;
                     }
-                    if writes.write_all(&buffer[..read]).await.is_err() {
-                        return reset_both(&reads, &writes);
+                    if writer.write_all(&buffer[..length]).await.is_err() {
+                        return reset_both(&reader, &writer);
                     }
                 }
             }
         }
     }
 
-    /// A relay of datagrams from one party to another; returns where the first reaches the second.
+    /// Starts a relay of datagrams from one party to another, and returns the address on which it listens.
     pub async fn udp(&self, from: &str, to: &str, target: SharedAddress) -> io::Result<SocketAddr> {
         let socket = Rc::new(UdpSocket::bind("127.0.0.1:0").await?);
         let address = socket.local_addr()?;
@@ -198,16 +200,17 @@
         spawn_local(async move {
             let mut buffer = vec![0; 64 * 1024];
             loop {
-                // Errors of datagrams that the relay sent in vain; they concern no party.
+                // Errors stem from datagrams that the relay could not deliver, and concern no party.
                 let Ok((length, _)) = socket.recv_from(&mut buffer).await else { continue };
                 let fault = links.fault(&from, &to);
-                if fault.cut || fault.reset || links.chance(fault.drop) {
+                if fault.cut || fault.reset || links.random_bool(fault.drop) {
                     continue;
                 }
-                let copies = 1 + usize::from(links.chance(fault.duplicate));
+                let copies = 1 + usize::from(links.random_bool(fault.duplicate));
                 for _ in 0..copies {
-                    let late = if links.chance(fault.reorder) { REORDER_DELAY } else { Duration::ZERO };
-                    let delay = links.delay(&fault) + late;
+                    let reorder_delay =
+                        if links.random_bool(fault.reorder) { REORDER_DELAY } else { Duration::ZERO };
+                    let delay = links.delay(&fault) + reorder_delay;
                     let (socket, bytes, to) = (socket.clone(), buffer[..length].to_vec(), target.get());
                     if delay > Duration::ZERO {
                         spawn_local(async move {
@@ -224,11 +227,11 @@
     }
 }
 
-/// A connection broke.
+/// The connection broke or was reset by a fault.
 struct ConnectionBroken;
 
-/// Closes a connection so that the other side sees a reset.
+/// Makes the close of a connection send a reset to the other side.
 fn reset(stream: &TcpStream) {
-    // It fails only on one that is gone.
+    // Fails only on a closed connection.
     let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -1,5 +1,5 @@
-//! Open-loop load: requests are due at times drawn ahead from the seed, whatever became of those before, and each is
-//! timed from when it was due.
+//! Generates open-loop load. The times of all requests are drawn from the seed in advance and do not depend on earlier
+//! responses, and the latency of a request counts from the time when it was due.
 
 use crate::gateway::Gateway;
 use crate::http::{self, HttpError};
@@ -16,26 +16,26 @@
 use tokio::task::{spawn_local, JoinSet};
 use tokio::time::{sleep, sleep_until, timeout, Instant};
 
-/// How often the load balancer checks the health of each gateway.
+/// The interval between the load balancer's health checks of a gateway, and the timeout of each check.
 const HEALTH_CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// The largest 99th percentile of the generator's lateness; beyond it the run is invalid.
-pub const MAX_LATENESS: Duration = Duration::from_millis(50);
-/// How long after its deadline a request is given up.
+/// The largest 99th percentile of the generator's lateness with which a run is valid.
+pub const MAX_P99_LATENESS: Duration = Duration::from_millis(50);
+/// How long after its deadline a request is abandoned.
 const DEADLINE_GRACE: Duration = Duration::from_millis(500);
 
-/// The load of an experiment.
+/// The load settings of an experiment.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Load {
-    /// Requests a second.
+    /// The request rate, in requests per second.
     pub rate: f64,
-    /// How many customers send them, equally often.
+    /// The number of customers that send requests, with equal probability.
     pub customers: u64,
-    /// Through how many gateways each customer's requests come.
+    /// The number of gateways that receive each customer's requests.
     pub spread: u32,
     /// The share of requests that are not idempotent.
     pub unsafe_share: f64,
-    /// Each customer's quota: units a second, and its burst in units.
+    /// Each customer's quota: rate in units per second, and burst in units.
     pub quota: (f64, f64),
 }
 
@@ -48,11 +48,11 @@
 /// A class of requests.
 #[derive(Clone, Copy, Debug)]
 pub struct Class {
-    /// Its name.
+    /// The name, as sent in `X-Call-Class`.
     pub name: &'static str,
-    /// How long after it was due a request must be answered.
+    /// How long after its due time a request must be answered.
     pub deadline: Duration,
-    /// Whether a request may run more than once.
+    /// Whether a request may be executed more than once.
     pub idempotent: bool,
 }
 
@@ -62,77 +62,78 @@
     Class { name: "publish", deadline: Duration::from_secs(8), idempotent: false },
 ];
 
-/// What became of a request.
+/// The outcome of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Fate {
-    /// It has no response yet.
+pub enum Outcome {
+    /// No response yet.
     Pending,
-    /// Served, with this body.
+    /// Served, with the body of the response.
     Served(Bytes),
     /// Rejected by quota or load shedding.
     Rejected,
-    /// Failed, with this status.
+    /// Failed, with the status of the response.
     Failed(u16),
-    /// Its connection ended without a response.
+    /// The connection ended without a complete response.
     ConnectionBroken,
     /// No response by half a second after its deadline.
     Unanswered,
-    /// The gateway accepted no connection.
+    /// Not sent, because the gateway accepted no connection.
     NotSent,
 }
 
-impl Fate {
-    /// The word by which a violation names it.
+impl Outcome {
+    /// Returns the label that violations use for the outcome.
     pub fn label(&self) -> &'static str {
         match self {
-            Fate::Pending => "open",
-            Fate::Served(_) => "served",
-            Fate::Rejected => "refused",
-            Fate::Failed(_) => "failed",
-            Fate::ConnectionBroken => "broken",
-            Fate::Unanswered => "silent",
-            Fate::NotSent => "unsent",
+            Outcome::Pending => "open",
+            Outcome::Served(_) => "served",
+            Outcome::Rejected => "refused",
+            Outcome::Failed(_) => "failed",
+            Outcome::ConnectionBroken => "broken",
+            Outcome::Unanswered => "silent",
+            Outcome::NotSent => "unsent",
         }
     }
 }
 
-/// One request.
+/// A request that was sent, and its outcome.
 #[derive(Clone, Debug)]
 pub struct RequestRecord {
-    /// Its id.
-    pub call: String,
-    /// Its customer.
+    /// The id of the request.
+    pub request_id: String,
+    /// The id of the customer.
     pub customer: u64,
-    /// Its index in `CLASSES`.
+    /// The index of the request's class in `CLASSES`.
     pub class: usize,
-    /// The gateway it went to.
+    /// The name of the gateway that received the request.
     pub gateway: String,
-    /// When it was due, since the rig began.
+    /// The time when the request was due, since the rig started.
     pub due: Duration,
-    /// When its fate was known.
+    /// The time when the outcome was known, since the rig started.
     pub ended: Duration,
-    /// What became of it.
-    pub fate: Fate,
+    /// The outcome.
+    pub outcome: Outcome,
 }
 
-/// All requests of a run, and how timely they were.
-pub struct Ledger {
-    /// Each request.
+/// The requests of a run, with their latencies and the generator's lateness.
+pub struct LoadResults {
+    /// The requests with a final outcome.
     pub requests: RefCell<Vec<RequestRecord>>,
-    /// Microseconds from due to response, of those served.
+    /// The times from due to response of the served requests, in microseconds.
     pub latencies: RefCell<Histogram<u64>>,
-    /// Microseconds from due to sent.
+    /// The times from due to sent, in microseconds.
     pub lateness: RefCell<Histogram<u64>>,
-    /// Responses to which there was no request: gateway and time.
+    /// Responses without a matching request: gateway and time since the rig started.
     pub unexpected_responses: RefCell<Vec<(String, Duration)>>,
 }
 
-impl Ledger {
-    /// An empty one.
-    pub fn new() -> Rc<Ledger> {
-        let histogram =
-            || RefCell::new(Histogram::new_with_max(60_000_000, 3).expect("bounds that are allowed"));
-        Rc::new(Ledger {
+impl LoadResults {
+    /// Creates an empty record.
+    pub fn new() -> Rc<LoadResults> {
+        let histogram = || {
+            RefCell::new(Histogram::new_with_max(60_000_000, 3).expect("the histogram's bounds are valid"))
+        };
+        Rc::new(LoadResults {
             requests: RefCell::default(),
             latencies: histogram(),
             lateness: histogram(),
@@ -140,29 +141,29 @@
         })
     }
 
-    /// Whether the generator was the bottleneck, and not the gateways.
-    pub fn was_late(&self) -> bool {
-        self.lateness.borrow().value_at_quantile(0.99) > MAX_LATENESS.as_micros() as u64
+    /// Returns whether the generator sent requests too late, so that it and not the gateways was the bottleneck.
+    pub fn generator_was_late(&self) -> bool {
+        self.lateness.borrow().value_at_quantile(0.99) > MAX_P99_LATENESS.as_micros() as u64
     }
 }
 
-/// A request and when it is due.
+/// A request to send and its due time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ScheduledRequest {
-    /// When it is due, since the load began.
+    /// The time when the request is due, since the load started.
     pub at: Duration,
-    /// Its id.
-    pub call: String,
-    /// Its customer.
+    /// The id of the request.
+    pub request_id: String,
+    /// The id of the customer.
     pub customer: u64,
-    /// Its class.
+    /// The index of the request's class in `CLASSES`.
     pub class: usize,
     /// A random number that selects the gateway.
-    pub pick: u64,
+    pub gateway_choice: u64,
 }
 
-/// Draws all requests of a load: the same ones for the same seed.
-pub fn schedule(load: &Load, span: Duration, seed: u64) -> Vec<ScheduledRequest> {
+/// Draws all requests of a load. Equal arguments give equal schedules.
+pub fn schedule(load: &Load, duration: Duration, seed: u64) -> Vec<ScheduledRequest> {
     let mut rng = fastrand::Rng::with_seed(seed);
     let (mut at, mut requests) = (0.0, Vec::new());
     if load.rate <= 0.0 {
@@ -170,53 +171,58 @@
     }
     loop {
         at += -(1.0 - rng.f64()).ln() / load.rate;
-        if at >= span.as_secs_f64() {
+        if at >= duration.as_secs_f64() {
             break;
         }
         let class = usize::from(rng.f64() < load.unsafe_share);
-        let call = format!("{:016x}", rng.u64(..));
+        let request_id = format!("{:016x}", rng.u64(..));
         let customer = rng.u64(..load.customers.max(1)) + 1;
         requests.push(ScheduledRequest {
             at: Duration::from_secs_f64(at),
-            call,
+            request_id,
             customer,
             class,
-            pick: rng.u64(..),
+            gateway_choice: rng.u64(..),
         });
     }
     requests
 }
 
-/// The index of the first of the gateways through which a customer's requests come.
+/// Returns the index of the first gateway that receives a customer's requests; the others follow it consecutively.
 pub fn first_gateway(customer: u64, gateways: usize) -> u32 {
     (customer % gateways.max(1) as u64) as u32
 }
 
-/// The clients, and the load balancer between them and the gateways.
+/// Simulates the clients and the load balancer in front of the gateways.
 pub struct Generator {
     gateways: Vec<Rc<Gateway>>,
     healthy: Vec<Cell<bool>>,
     idle: RefCell<HashMap<usize, Vec<SendRequest<Full<Bytes>>>>>,
-    ledger: Rc<Ledger>,
+    results: Rc<LoadResults>,
     load: Load,
-    began: Instant,
+    epoch: Instant,
 }
 
 impl Generator {
-    /// A generator for these gateways.
-    pub fn new(gateways: &[Rc<Gateway>], load: &Load, ledger: Rc<Ledger>, began: Instant) -> Rc<Generator> {
+    /// Creates a generator that sends the load to these gateways.
+    pub fn new(
+        gateways: &[Rc<Gateway>],
+        load: &Load,
+        results: Rc<LoadResults>,
+        epoch: Instant,
+    ) -> Rc<Generator> {
         Rc::new(Generator {
             gateways: gateways.to_vec(),
             healthy: gateways.iter().map(|_| Cell::new(false)).collect(),
             idle: RefCell::default(),
-            ledger,
+            results,
             load: load.clone(),
-            began,
+            epoch,
         })
     }
 
-    /// Checks the health of every gateway until the runtime ends.
-    pub fn watch(self: &Rc<Self>) {
+    /// Starts health checks of every gateway, which run until the runtime ends.
+    pub fn start_health_checks(self: &Rc<Self>) {
         for index in 0..self.gateways.len() {
             let generator = self.clone();
             spawn_local(async move {
@@ -230,17 +236,17 @@
 
     async fn check_health(&self, index: usize) {
         let address = self.gateways[index].client_address.get();
-        let checked = timeout(HEALTH_CHECK_INTERVAL, http::get(address, "/_health")).await;
-        self.healthy[index].set(matches!(checked, Ok(Ok((200, _)))));
+        let response = timeout(HEALTH_CHECK_INTERVAL, http::get(address, "/_health")).await;
+        self.healthy[index].set(matches!(response, Ok(Ok((200, _)))));
     }
 
-    /// Whether all gateways are healthy.
+    /// Returns whether all gateways are healthy.
     pub fn all_healthy(&self) -> bool {
         self.healthy.iter().all(Cell::get)
     }
 
-    /// Sends the requests when they are due, and waits for the fate of each.
-    pub async fn play(self: &Rc<Self>, requests: Vec<ScheduledRequest>) {
+    /// Sends the requests when they are due, and waits for the outcome of each.
+    pub async fn run(self: &Rc<Self>, requests: Vec<ScheduledRequest>) {
         let start = Instant::now();
         let mut pending = JoinSet::new();
         for scheduled in requests {
@@ -257,54 +263,55 @@
         let count = self.gateways.len();
         let first = first_gateway(scheduled.customer, count);
         let spread = self.load.spread.clamp(1, count as u32);
-        let set: Vec<usize> = (0..spread).map(|step| (first + step) as usize % count).collect();
-        let healthy: Vec<usize> = set.iter().copied().filter(|index| self.healthy[*index].get()).collect();
-        let candidates = if healthy.is_empty() { &set } else { &healthy };
-        let index = candidates[(scheduled.pick % candidates.len() as u64) as usize];
+        let assigned: Vec<usize> = (0..spread).map(|offset| (first + offset) as usize % count).collect();
+        let healthy: Vec<usize> =
+            assigned.iter().copied().filter(|index| self.healthy[*index].get()).collect();
+        let candidates = if healthy.is_empty() { &assigned } else { &healthy };
+        let index = candidates[(scheduled.gateway_choice % candidates.len() as u64) as usize];
         let mut record = RequestRecord {
-            call: scheduled.call.clone(),
+            request_id: scheduled.request_id.clone(),
             customer: scheduled.customer,
             class: scheduled.class,
             gateway: self.gateways[index].name.clone(),
-            due: due - self.began,
+            due: due - self.epoch,
             ended: Duration::ZERO,
-            fate: Fate::Pending,
+            outcome: Outcome::Pending,
         };
         let lateness = due.elapsed();
-        // It fails only beyond the histogram's minute, which is invalid in any case.
-        let _ = self.ledger.lateness.borrow_mut().record(lateness.as_micros() as u64);
+        // Fails only beyond the histogram's maximum of a minute. A request as late as that makes no valid run.
+        let _ = self.results.lateness.borrow_mut().record(lateness.as_micros() as u64);
         let request = || {
-            let left = deadline.saturating_sub(due.elapsed()).as_millis();
+            let remaining_ms = deadline.saturating_sub(due.elapsed()).as_millis();
             let method = if scheduled.class == 0 { Method::GET } else { Method::POST };
             let path = format!("/api?customer={:016x}&units=1", scheduled.customer);
             Request::builder()
                 .method(method)
                 .uri(path)
                 .header("Host", "lab")
-                .header("X-Call-Id", &scheduled.call)
+                .header("X-Call-Id", &scheduled.request_id)
                 .header("X-Call-Class", name)
                 .header("X-Plan", "team")
-                .header("X-Budget-Ms", left.to_string())
+                .header("X-Budget-Ms", remaining_ms.to_string())
                 .header("X-Quota", format!("units=1,spread={spread},first={first}"))
                 .body(Full::<Bytes>::default())
         };
         let limit = (deadline + DEADLINE_GRACE).saturating_sub(due.elapsed());
-        record.fate = match timeout(limit, self.exchange(index, request)).await {
-            Ok(fate) => fate,
-            Err(_) => Fate::Unanswered,
+        record.outcome = match timeout(limit, self.exchange(index, request)).await {
+            Ok(outcome) => outcome,
+            Err(_) => Outcome::Unanswered,
         };
-        record.ended = self.began.elapsed();
-        if matches!(record.fate, Fate::Served(_)) {
-            let _ = self.ledger.latencies.borrow_mut().record(due.elapsed().as_micros() as u64);
+        record.ended = self.epoch.elapsed();
+        if matches!(record.outcome, Outcome::Served(_)) {
+            let _ = self.results.latencies.borrow_mut().record(due.elapsed().as_micros() as u64);
         }
-        self.ledger.requests.borrow_mut().push(record);
+        self.results.requests.borrow_mut().push(record);
     }
 
     async fn exchange(
         &self,
         index: usize,
         request: impl Fn() -> hyper::http::Result<Request<Full<Bytes>>>,
-    ) -> Fate {
+    ) -> Outcome {
         loop {
             let idle = self.idle.borrow_mut().get_mut(&index).and_then(Vec::pop);
             let reused = idle.is_some();
@@ -315,40 +322,40 @@
                     Ok(sender) => sender,
                     Err(_) => {
                         self.healthy[index].set(false);
-                        return Fate::NotSent;
+                        return Outcome::NotSent;
                     }
                 },
             };
-            let Ok(request) = request() else { return Fate::NotSent };
+            let Ok(request) = request() else { return Outcome::NotSent };
             match sender.send_request(request).await {
                 Ok(response) => match http::collect(response).await {
                     Ok((status, body)) => {
-                        // Returned to the pool only when it can carry another request.
+                        // Only a connection that can carry another request returns to the pool.
                         if sender.ready().await.is_ok() {
                             self.idle.borrow_mut().entry(index).or_default().push(sender);
                         }
                         return match status {
-                            200 => Fate::Served(body),
-                            429 | 503 => Fate::Rejected,
-                            status => Fate::Failed(status),
+                            200 => Outcome::Served(body),
+                            429 | 503 => Outcome::Rejected,
+                            status => Outcome::Failed(status),
                         };
                     }
-                    Err(_) => return Fate::ConnectionBroken,
+                    Err(_) => return Outcome::ConnectionBroken,
                 },
-                // The connection was closed between requests: retry on a new one.
+                // The idle connection was closed between requests, so retry on another one.
                 Err(_) if reused => continue,
-                Err(_) => return Fate::ConnectionBroken,
+                Err(_) => return Outcome::ConnectionBroken,
             }
         }
     }
 
     async fn connect(&self, index: usize) -> Result<SendRequest<Full<Bytes>>, HttpError> {
         let gateway = &self.gateways[index];
-        let (name, ledger, began) = (gateway.name.clone(), self.ledger.clone(), self.began);
+        let (name, results, epoch) = (gateway.name.clone(), self.results.clone(), self.epoch);
         http::connect(gateway.client_address.get(), move |error| {
-            // The text of hyper's error for a response without a request.
+            // Matches the text of hyper's error for a response without a request.
             if error.to_string().contains("unexpected message") {
-                ledger.unexpected_responses.borrow_mut().push((name, began.elapsed()));
+                results.unexpected_responses.borrow_mut().push((name, epoch.elapsed()));
             }
         })
         .await
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,4 +1,4 @@
-//! `lanespan-lab`: plays experiments.
+//! `lanespan-lab`: runs experiments with fleets of gateways and measures their behaviour.
 
 use clap::{Parser, Subcommand};
 use lanespan_lab::defective_gateway::DefectiveGatewayError;
@@ -10,111 +10,111 @@
 use std::process::ExitCode;
 use tokio::signal::unix::{signal, SignalKind};
 
-/// Plays experiments with fleets of gateways on loopback.
+/// Runs experiments with fleets of gateways on loopback.
 #[derive(Parser)]
 #[command(name = "lanespan-lab", version, arg_required_else_help = true)]
-struct Lab {
+struct Cli {
     #[command(subcommand)]
     command: Command,
 }
 
 #[derive(Subcommand)]
 enum Command {
-    /// Play an experiment file with real processes; exit code 1 where a check fails
+    /// Run an experiment file with real processes; exits with code 1 if a check fails
     #[command(after_help = "Example:\n  lanespan-lab fleet experiments/three-zones.toml")]
     Fleet {
-        /// The experiment
+        /// Path of the experiment file
         file: PathBuf,
-        /// The gateway program; by default `lanespan` beside this one
+        /// Path of the gateway program [default: `lanespan` in the directory of this program]
         #[arg(long)]
         lanespan: Option<PathBuf>,
-        /// Another seed than the file's
+        /// Seed to use instead of the one in the file
         #[arg(long)]
         seed: Option<u64>,
-        /// Where the report, files and logs go; by default a new folder among the temporary ones
+        /// Directory for the report, configuration files and logs [default: a new temporary directory]
         #[arg(long)]
         out: Option<PathBuf>,
     },
-    /// Measure what presence costs and how soon a kill is known
+    /// Measure the cost of membership and the time to detect a killed gateway
     #[command(after_help = "Example:\n  lanespan-lab presence --members 3,12,30,300 --seeds 3")]
     Presence {
-        /// How many gateways, a list
+        /// Numbers of gateways, comma-separated
         #[arg(long, value_delimiter = ',', default_value = "3,12,30")]
         members: Vec<usize>,
-        /// How many seeds, for those in simulation
+        /// Number of seeds in simulation
         #[arg(long, default_value_t = 3)]
         seeds: u64,
-        /// How many members in a hundred are slow, in simulation
+        /// Percentage of slow members in simulation
         #[arg(long, default_value_t = 0)]
         slow: usize,
-        /// With real processes of this program, not in simulation
+        /// Path of a gateway program to run as real processes instead of a simulation
         #[arg(long)]
         real: Option<PathBuf>,
     },
-    /// Measure how soon the fleet plan is agreed on, acted on and handed over
+    /// Measure how soon changes of the fleet document are accepted and applied, and leases handed over
     #[command(after_help = "Example:\n  lanespan-lab plan --members 300,1000 --seeds 3")]
     Plan {
-        /// How many gateways, a list
+        /// Numbers of gateways, comma-separated
         #[arg(long, value_delimiter = ',', default_value = "300")]
         members: Vec<usize>,
-        /// How many seeds, for those in simulation
+        /// Number of seeds in simulation
         #[arg(long, default_value_t = 3)]
         seeds: u64,
-        /// With real processes of this program, not in simulation
+        /// Path of a gateway program to run as real processes instead of a simulation
         #[arg(long)]
         real: Option<PathBuf>,
     },
-    /// Measure what the rig itself bears, beside a plain echo
+    /// Measure the highest load that the rig itself sustains, compared with a plain echo server
     #[command(after_help = "Example:\n  lanespan-lab ceiling")]
     Ceiling {
-        /// The gateway program; by default `lanespan` beside this one
+        /// Path of the gateway program [default: `lanespan` in the directory of this program]
         #[arg(long)]
         lanespan: Option<PathBuf>,
-        /// From which the load is drawn
+        /// Seed of the load
         #[arg(long, default_value_t = 1)]
         seed: u64,
     },
-    /// Stand in for a gateway that is broken on purpose, as `broken` in its file names it
+    /// Run a gateway with a deliberate defect, named by `broken` in its configuration file
     #[command(hide = true)]
     Run {
-        /// A gateway's file, in JSON
+        /// Path of the configuration file, in JSON
         #[arg(long)]
         config: PathBuf,
     },
 }
 
-/// Why a command failed.
+/// An error of a command.
 #[derive(Debug, thiserror::Error)]
 enum LabError {
     /// A file could not be read or written.
-    #[error("{}: {source}", path.display())]
+    #[error("cannot access {}: {source}", path.display())]
     File { path: PathBuf, source: std::io::Error },
-    /// A file is not an experiment.
-    #[error("{}: {source}", path.display())]
+    /// An experiment file is not valid.
+    #[error("invalid experiment file {}: {source}", path.display())]
     Experiment { path: PathBuf, source: ExperimentError },
-    /// The fleet failed.
+    /// Starting or controlling the fleet failed.
     #[error(transparent)]
     Rig(#[from] RigError),
     /// A measurement failed.
     #[error(transparent)]
     Measure(#[from] MeasureError),
-    /// The broken gateway failed.
+    /// The defective gateway failed.
     #[error(transparent)]
-    Broken(#[from] DefectiveGatewayError),
-    /// The broken gateway's file could not be read.
+    DefectiveGateway(#[from] DefectiveGatewayError),
+    /// The defective gateway's configuration file could not be read.
     #[error(transparent)]
     Io(#[from] std::io::Error),
-    /// A configuration or a report is not JSON.
+    /// The defective gateway's configuration is not valid JSON, or a report could not be serialized.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// There is no gateway program to run.
-    #[error("no gateway program: build it or name it with --lanespan")]
+    /// The gateway program does not exist.
+    #[error("gateway program not found: build it or set its path with --lanespan")]
     NoProgram,
-    /// Interrupted while the fleet started.
-    #[error("interrupted before all was started")]
+    /// Interrupted while the fleet was starting.
+    #[error("interrupted while the fleet was starting")]
     InterruptedStart,
-    /// Interrupted while the experiment was played.
-    #[error("interrupted; report.json holds what was played")]
+    /// Interrupted while the experiment was running.
+    #[error("interrupted; report.json covers the run until then")]
     Interrupted,
 }
 
@@ -123,23 +123,23 @@
 }
 
 fn main() -> ExitCode {
-    let done = match Lab::parse().command {
+    let result = match Cli::parse().command {
         Command::Fleet { file, lanespan, seed, out } => fleet(&file, lanespan, seed, out).map(|report| {
             print!("{}", report.text());
-            report.holds()
+            report.passed()
         }),
         Command::Presence { members, seeds, slow, real } => {
             presence(&members, seeds, slow, real).map(|()| true)
         }
         Command::Plan { members, seeds, real } => plan(&members, seeds, real).map(|()| true),
         Command::Ceiling { lanespan, seed } => ceiling(lanespan, seed).map(|()| true),
-        Command::Run { config } => stand_in(&config).map(|()| true),
+        Command::Run { config } => run_defective_gateway(&config).map(|()| true),
     };
-    match done {
+    match result {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
-        Err(problem) => {
-            eprintln!("lanespan-lab: {problem}");
+        Err(error) => {
+            eprintln!("lanespan-lab: {error}");
             ExitCode::from(2)
         }
     }
@@ -147,68 +147,70 @@
 
 fn presence(members: &[usize], seeds: u64, slow: usize, real: Option<PathBuf>) -> Result<(), LabError> {
     if let Some(program) = real {
-        println!("{}", measure::REAL);
+        println!("{}", measure::MEMBERSHIP_REAL_HEADER);
         for count in members {
-            let out = temporary().join(count.to_string());
-            println!("{}", block_on(measure::real(*count, &program, &out))?);
+            let out = temporary_directory().join(count.to_string());
+            println!("{}", block_on(measure::membership_real(*count, &program, &out))?);
         }
         return Ok(());
     }
-    println!("{}", measure::SIMULATED);
+    println!("{}", measure::MEMBERSHIP_SIMULATED_HEADER);
     for (count, seed) in members.iter().flat_map(|count| (1..=seeds).map(move |seed| (*count, seed))) {
-        println!("{}", measure::simulated(count, seed, slow));
+        println!("{}", measure::membership_simulated(count, seed, slow));
     }
     Ok(())
 }
 
 fn plan(members: &[usize], seeds: u64, real: Option<PathBuf>) -> Result<(), LabError> {
     if let Some(program) = real {
-        println!("{}", measure::PLAN_REAL);
+        println!("{}", measure::DOCUMENT_REAL_HEADER);
         for count in members {
-            let out = temporary().join(count.to_string());
-            println!("{}", block_on(measure::plan_real(*count, &program, &out))?);
+            let out = temporary_directory().join(count.to_string());
+            println!("{}", block_on(measure::document_real(*count, &program, &out))?);
         }
         return Ok(());
     }
-    println!("{}", measure::PLAN_SIMULATED);
+    println!("{}", measure::DOCUMENT_SIMULATED_HEADER);
     for (count, seed) in members.iter().flat_map(|count| (1..=seeds).map(move |seed| (*count, seed))) {
-        println!("{}", measure::plan_simulated(count, seed));
+        println!("{}", measure::document_simulated(count, seed));
     }
     Ok(())
 }
 
-/// The gateway program.
-fn gateway(named: Option<PathBuf>) -> Result<PathBuf, LabError> {
-    let beside = || std::env::current_exe().ok().map(|own| own.with_file_name("lanespan"));
-    let program = named.or_else(beside).filter(|program| program.exists());
+/// Returns the path of the gateway program: the given one, or `lanespan` in the directory of this program.
+fn gateway_program(given: Option<PathBuf>) -> Result<PathBuf, LabError> {
+    let sibling = || std::env::current_exe().ok().map(|lab| lab.with_file_name("lanespan"));
+    let program = given.or_else(sibling).filter(|program| program.exists());
     program.ok_or(LabError::NoProgram)
 }
 
 fn ceiling(program: Option<PathBuf>, seed: u64) -> Result<(), LabError> {
-    let program = gateway(program)?;
-    println!("{}", measure::CEILING);
-    block_on(measure::ceiling(&program, &temporary(), seed))?.iter().for_each(|row| println!("{row}"));
+    let program = gateway_program(program)?;
+    println!("{}", measure::CEILING_HEADER);
+    block_on(measure::ceiling(&program, &temporary_directory(), seed))?
+        .iter()
+        .for_each(|row| println!("{row}"));
     Ok(())
 }
 
-/// Ctrl-C or SIGTERM.
+/// Waits for Ctrl-C or SIGTERM.
 async fn termination_signal() {
     match signal(SignalKind::terminate()) {
         Ok(mut terminate) => tokio::select! {
             _ = tokio::signal::ctrl_c() => {}
             _ = terminate.recv() => {}
         },
-        // Without it Ctrl-C is left.
+        // Without a handler for SIGTERM, waits for Ctrl-C only.
         Err(_) => drop(tokio::signal::ctrl_c().await),
     }
 }
 
-/// A folder for the files of this process.
-fn temporary() -> PathBuf {
+/// Returns the path of this process's own temporary directory.
+fn temporary_directory() -> PathBuf {
     std::env::temp_dir().join(format!("lanespan-lab-{}", std::process::id()))
 }
 
-fn stand_in(config: &Path) -> Result<(), LabError> {
+fn run_defective_gateway(config: &Path) -> Result<(), LabError> {
     let text = std::fs::read_to_string(config)?;
     let config = serde_json::from_str(&text)?;
     Ok(block_on(lanespan_lab::defective_gateway::run(&config))?)
@@ -224,23 +226,23 @@
     let mut experiment = Experiment::parse(&text)
         .map_err(|source| LabError::Experiment { path: file.to_path_buf(), source })?;
     experiment.seed = seed.unwrap_or(experiment.seed);
-    let program = gateway(program)?;
-    let out = out.unwrap_or_else(temporary);
+    let program = gateway_program(program)?;
+    let out = out.unwrap_or_else(temporary_directory);
     block_on(async {
-        let starting = Rig::start(&experiment, &program, &out);
+        let start = Rig::start(&experiment, &program, &out);
         let rig = tokio::select! {
-            rig = starting => rig?,
+            rig = start => rig?,
             () = termination_signal() => return Err(LabError::InterruptedStart),
         };
-        println!("playing; logs in {}", out.display());
-        // What was played until then is reported.
+        println!("running; logs in {}", out.display());
+        // An interrupted run is reported up to the interruption, without checks.
         let interrupted = tokio::select! {
-            ran = rig.run() => { ran?; false }
+            result = rig.run() => { result?; false }
             () = termination_signal() => true,
         };
-        let broken = if interrupted { Vec::new() } else { rig.check().await };
-        let report = rig.report(broken);
-        rig.end().await;
+        let violations = if interrupted { Vec::new() } else { rig.check().await };
+        let report = rig.report(violations);
+        rig.shut_down().await;
         let json = serde_json::to_string_pretty(&report)?;
         let path = out.join("report.json");
         std::fs::write(&path, json).map_err(|source| file_error(&path, source))?;
--- a/crates/lab/src/record.rs
+++ b/crates/lab/src/record.rs
@@ -1,8 +1,8 @@
-//! What a run left behind, as the checks and the report read it.
+//! The record of a run that the checks and the report are computed from.
 
 use crate::experiment::Experiment;
 use crate::gateway::Gateway;
-use crate::load::Ledger;
+use crate::load::LoadResults;
 use crate::stand_in::backend::Arrival;
 use std::cell::Ref;
 use std::collections::HashMap;
@@ -10,22 +10,22 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A read-only view of a run. It borrows from the rig, and must not be held while the fleet goes on.
+/// A read-only view of a run. It borrows the rig's `RefCell`s, so it must not be held while the fleet runs on.
 pub struct RunRecord<'a> {
-    /// The experiment that was played.
+    /// The experiment that was run.
     pub experiment: &'a Experiment,
-    /// The gateways.
+    /// The gateways of the fleet.
     pub gateways: &'a [Rc<Gateway>],
-    /// The requests of the load, and what became of them.
-    pub ledger: &'a Ledger,
-    /// The requests that arrived at backends.
+    /// The requests of the load and their outcomes.
+    pub results: &'a LoadResults,
+    /// The requests received by backends.
     pub arrivals: Ref<'a, Vec<Arrival>>,
-    /// When a gateway first learned that a backend takes no more requests, by gateway and backend.
-    pub drained_at: Ref<'a, HashMap<(String, String), Duration>>,
-    /// The actions done, each with its time since the rig began.
+    /// The time when a gateway was first notified that a backend is draining or gone, by gateway and backend.
+    pub drain_notices: Ref<'a, HashMap<(String, String), Duration>>,
+    /// The applied actions and their times since the rig started.
     pub actions: Ref<'a, Vec<(Duration, String)>>,
-    /// The accepted proposals: the index and the value.
+    /// The index and value of each accepted proposal.
     pub proposals: Ref<'a, Vec<(u64, String)>>,
-    /// Where files and logs are.
+    /// The directory of the configuration files and logs.
     pub directory: &'a Path,
 }
--- a/crates/lab/src/rig.rs
+++ b/crates/lab/src/rig.rs
@@ -1,4 +1,4 @@
-//! A fleet on loopback: gateways as processes, stand-ins as tasks, and every path between them through a relay.
+//! Runs a fleet on loopback: gateways as processes, stand-ins as tasks, and a relay on every path between them.
 
 mod config;
 mod error;
@@ -15,7 +15,7 @@
 use crate::experiment::Experiment;
 use crate::gateway::{Gateway, ProcessState};
 use crate::links::Links;
-use crate::load::{schedule, Generator, Ledger};
+use crate::load::{schedule, Generator, LoadResults};
 use crate::record::RunRecord;
 use crate::report::Report;
 use crate::stand_in::backend::{Arrival, Backend};
@@ -32,79 +32,80 @@
 use tokio::task::{spawn_local, LocalSet};
 use tokio::time::{sleep, sleep_until, timeout, Instant};
 
-/// How often a condition that is waited for is checked.
+/// The interval between checks of a condition that is waited for.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// How often the gateways' memory and descriptors are sampled.
+/// The interval between samples of the gateways' memory and descriptors.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(500);
-/// How long a gateway may take to end after SIGTERM.
+/// How long a gateway may take to exit after SIGTERM.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(10);
-/// How long after the load's end proposals under way are waited for.
+/// How long to wait for pending proposals after the end of the load.
 const PROPOSAL_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Runs a future that plays with a fleet to its end, and ends all tasks that it started.
-pub fn block_on<T>(work: impl Future<Output = T>) -> T {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-    LocalSet::new().block_on(&runtime, work)
+/// Runs a future to completion on a new single-threaded runtime, and drops all tasks that it spawned.
+pub fn block_on<T>(future: impl Future<Output = T>) -> T {
+    let runtime =
+        tokio::runtime::Builder::new_current_thread().enable_all().build().expect("the runtime starts");
+    LocalSet::new().block_on(&runtime, future)
 }
 
-/// A running fleet. When it is dropped its processes are killed.
+/// A running fleet. Its processes are killed when it is dropped.
 pub struct Rig {
-    /// Its gateways.
+    /// The gateways.
     pub gateways: Vec<Rc<Gateway>>,
-    /// Its backends.
+    /// The simulated backends.
     pub backends: Vec<Rc<Backend>>,
-    /// Its counter.
+    /// The simulated counter.
     pub counter: Rc<Counter>,
-    /// Its discovery.
+    /// The simulated discovery service.
     pub discovery: Rc<Discovery>,
-    /// Its links.
+    /// The links between the parties.
     pub links: Links,
-    /// The requests of the load, and what became of them.
-    pub ledger: Rc<Ledger>,
-    /// The requests that arrived at backends.
+    /// The requests of the load and their outcomes.
+    pub results: Rc<LoadResults>,
+    /// The requests received by backends.
     pub arrivals: Rc<RefCell<Vec<Arrival>>>,
-    /// The actions done, each with its time since the rig began.
+    /// The applied actions and their times since the rig started.
     pub actions: RefCell<Vec<(Duration, String)>>,
-    /// Gateways that got SIGTERM, which the others must know to have left.
+    /// The gateways that were sent SIGTERM, which the others must record as `left`.
     pub terminated: RefCell<BTreeSet<String>>,
-    /// Where files and logs are.
+    /// The directory of the configuration files and logs.
     pub directory: PathBuf,
-    /// The accepted proposals: the index and the value.
+    /// The index and value of each accepted proposal.
     pub proposals: Rc<RefCell<Vec<(u64, String)>>>,
     experiment: Experiment,
     generator: Rc<Generator>,
-    began: Instant,
+    epoch: Instant,
     discovery_listeners: Vec<ServiceListener>,
 }
 
 impl Rig {
-    /// Time since the rig began.
+    /// Returns the time since the rig started.
     pub fn elapsed(&self) -> Duration {
-        self.began.elapsed()
+        self.epoch.elapsed()
     }
 
-    /// A gateway by its index.
+    /// Returns a gateway by its index.
     pub fn gateway(&self, index: usize) -> &Rc<Gateway> {
         &self.gateways[index]
     }
 
-    /// Plays the load and the timeline, undoes the faults that are left, and waits for the fate of each request.
+    /// Runs the load and the timeline, waits for the outcome of each request, and undoes the remaining faults.
     pub async fn run(&self) -> Result<(), RigError> {
         let requests = schedule(&self.experiment.load, self.experiment.span(), self.experiment.seed);
         let sampled: Vec<Rc<Gateway>> = self.gateways.clone();
-        let sampling = spawn_local(async move {
+        let sampler = spawn_local(async move {
             loop {
                 sampled.iter().for_each(|gateway| gateway.sample());
                 sleep(SAMPLE_INTERVAL).await;
             }
         });
-        let (acted, ()) = tokio::join!(self.play_timeline(), self.generator.play(requests));
-        sampling.abort();
-        acted?;
+        let (timeline_result, ()) = tokio::join!(self.run_timeline(), self.generator.run(requests));
+        sampler.abort();
+        timeline_result?;
         self.undo_faults().await
     }
 
-    async fn play_timeline(&self) -> Result<(), RigError> {
+    async fn run_timeline(&self) -> Result<(), RigError> {
         let start = Instant::now();
         for step in &self.experiment.timeline {
             sleep_until(start + Duration::from_secs_f64(step.at)).await;
@@ -113,21 +114,22 @@
         Ok(())
     }
 
-    /// Heals links, resumes stopped gateways and waits for terminated ones, so that the views can be compared.
+    /// Heals links, resumes stopped gateways and waits for the exit of terminated ones, so that the views can be
+    /// compared.
     async fn undo_faults(&self) -> Result<(), RigError> {
         self.links.heal();
         for gateway in &self.gateways {
             if gateway.process_state.get() == ProcessState::Running {
                 gateway.resume()?;
             } else if timeout(SHUTDOWN_TIMEOUT, gateway.wait_for_end()).await.is_err() {
-                let crash = format!("{} did not end when it was told to", gateway.name);
+                let crash = format!("{} did not exit after SIGTERM", gateway.name);
                 gateway.crashes.borrow_mut().push(crash);
             }
         }
         Ok(())
     }
 
-    /// Checks what happened; returns what does not hold.
+    /// Runs all checks and returns their violations.
     pub async fn check(&self) -> Vec<Violation> {
         let mut violations = checks::request_violations(&self.record());
         if self.experiment.gateways.fleet {
@@ -147,15 +149,16 @@
     }
 
     async fn check_document(&self) -> Vec<Violation> {
-        let wanted = self.experiment.checks.proposals;
-        let enough = || self.proposals.borrow().len() >= wanted;
-        let in_time = self.wait_until("proposals", PROPOSAL_TIMEOUT, enough).await.is_ok();
-        let missing = (!in_time).then(|| checks::too_few_proposals(&self.proposals.borrow(), wanted));
+        let required = self.experiment.checks.proposals;
+        let enough = || self.proposals.borrow().len() >= required;
+        let in_time = self.wait_until("accepted proposals", PROPOSAL_TIMEOUT, enough).await.is_ok();
+        let missing = (!in_time).then(|| checks::too_few_proposals(&self.proposals.borrow(), required));
         let running = self.running().count();
-        let same_plan = self.wait_for_answers("one plan", "/fleet/plan", self.agree_timeout(), |plans| {
-            plans.len() == running && checks::same_document(plans)
-        });
-        let disagreement = same_plan.await.err().map(|error| error.to_string());
+        let convergence =
+            self.wait_for_answers("one plan", "/fleet/plan", self.agree_timeout(), |documents| {
+                documents.len() == running && checks::same_document(documents)
+            });
+        let disagreement = convergence.await.err().map(|error| error.to_string());
         checks::document_violations(&self.record(), missing, disagreement)
     }
 
@@ -163,7 +166,7 @@
         Duration::from_secs_f64(self.experiment.checks.agree_within)
     }
 
-    /// The figures of the run.
+    /// Summarizes the run.
     pub fn report(&self, violations: Vec<Violation>) -> Report {
         Report::new(&self.record(), violations)
     }
@@ -172,20 +175,20 @@
         RunRecord {
             experiment: &self.experiment,
             gateways: &self.gateways,
-            ledger: &self.ledger,
+            results: &self.results,
             arrivals: self.arrivals.borrow(),
-            drained_at: self.discovery.drain_notices.borrow(),
+            drain_notices: self.discovery.drain_notices.borrow(),
             actions: self.actions.borrow(),
             proposals: self.proposals.borrow(),
             directory: &self.directory,
         }
     }
 
-    /// Ends every process and closes every listener.
-    pub async fn end(self) {
+    /// Kills all processes and closes all listeners.
+    pub async fn shut_down(self) {
         for gateway in &self.gateways {
             if gateway.process_state.get() != ProcessState::Stopped {
-                // One that has just ended is what is wanted.
+                // Fails if the process has just exited, which is the intended state.
                 let _ = gateway.kill().await;
             }
         }
@@ -195,7 +198,7 @@
     }
 }
 
-/// The address that a gateway announces for its replication listener.
+/// Returns the address that a gateway advertises for its replication listener.
 pub fn replication_address(gateway: &Gateway) -> SocketAddr {
     SocketAddr::new(gateway.advertised.ip(), gateway.advertised.port() + 1)
 }
--- a/crates/lab/src/rig/config.rs
+++ b/crates/lab/src/rig/config.rs
@@ -1,4 +1,4 @@
-//! The configuration file that the rig writes for a gateway.
+//! Builds the configuration file of a gateway.
 
 use super::replication_address;
 use crate::experiment::{Experiment, ReplicationSettings};
@@ -10,22 +10,22 @@
 use std::path::Path;
 use std::rc::Rc;
 
-/// How many other gateways each one is given to join the fleet through.
+/// The number of other gateways that a gateway is configured to join the fleet through.
 const SEED_ADDRESSES: usize = 3;
 
-/// The relays' addresses by which one gateway reaches the others.
+/// The addresses of the relays from one gateway to the other parties.
 pub(super) struct GatewayRoutes {
-    /// Discovery.
+    /// The relay to discovery.
     pub discovery: SocketAddr,
-    /// The counter.
+    /// The relay to the counter.
     pub counter: SocketAddr,
-    /// The membership socket of each other gateway, by its advertised address.
+    /// The relay to the membership socket of each other gateway, by its advertised address.
     pub membership: BTreeMap<SocketAddr, SocketAddr>,
-    /// The replication listener of each other gateway, by its advertised address.
+    /// The relay to the replication listener of each other gateway, by its advertised address.
     pub replication: BTreeMap<SocketAddr, SocketAddr>,
 }
 
-/// The whole configuration of a gateway. `gateways` are all gateways of the fleet, `index` is its position there.
+/// Builds the configuration of the gateway at `index` of `gateways`, which are all gateways of the fleet.
 pub(super) fn gateway_config(
     experiment: &Experiment,
     gateways: &[Rc<Gateway>],
@@ -76,10 +76,10 @@
 }
 
 fn fleet_section(experiment: &Experiment, gateway: &Gateway, routes: &GatewayRoutes) -> Value {
-    let join: Vec<&SocketAddr> = routes.membership.values().take(SEED_ADDRESSES).collect();
+    let seed_addresses: Vec<&SocketAddr> = routes.membership.values().take(SEED_ADDRESSES).collect();
     let clock_ahead_ms = experiment.gateways.clock_ahead_ms.get(&gateway.name).copied().unwrap_or(0);
     json!({
-        "listen": "127.0.0.1:0", "advertise": gateway.advertised, "cluster": "lab", "join": join,
+        "listen": "127.0.0.1:0", "advertise": gateway.advertised, "cluster": "lab", "join": seed_addresses,
         "via": routes.membership, "probe_ms": experiment.gateways.probe_ms, "hold_ms": experiment.gateways.hold_ms,
         "clock_ahead_ms": clock_ahead_ms,
     })
--- a/crates/lab/src/rig/error.rs
+++ b/crates/lab/src/rig/error.rs
@@ -1,43 +1,43 @@
-//! Why something failed at a fleet.
+//! The errors of starting, controlling and querying a fleet.
 
 use crate::gateway::GatewayError;
 use std::time::Duration;
 use thiserror::Error;
 
-/// Why a fleet could not be started, or an action not be done to it.
+/// An error of starting a fleet, applying an action to it or waiting for a condition.
 #[derive(Debug, Error)]
 pub enum RigError {
-    /// A directory could not be made, or a stand-in or relay not listen.
+    /// A directory could not be created, or a stand-in or relay could not listen.
     #[error(transparent)]
     Io(#[from] std::io::Error),
     /// A gateway's process failed.
     #[error(transparent)]
     Gateway(#[from] GatewayError),
     /// An action names a party that the experiment does not have.
-    #[error("no such party: {0}")]
+    #[error("unknown party: {0}")]
     UnknownParty(String),
-    /// An action names the leader while there is none.
-    #[error("nobody leads the plan")]
+    /// An action names the leader of the fleet document while no gateway reports that it leads.
+    #[error("the fleet document has no leader")]
     NoLeader,
-    /// A gateway did not end after SIGTERM in time.
-    #[error("{0} did not end")]
-    DidNotEnd(String),
-    /// A condition did not come to hold in time.
-    #[error("waited {timeout:?} in vain for {condition}")]
+    /// A gateway did not exit in time after SIGTERM.
+    #[error("gateway {0} did not exit in time after SIGTERM")]
+    ExitTimeout(String),
+    /// A condition did not become true in time.
+    #[error("condition not reached within {timeout:?}: {condition}")]
     ConditionTimeout {
         /// The condition.
         condition: String,
-        /// How long it was waited for.
+        /// The time limit.
         timeout: Duration,
     },
-    /// The gateways' answers did not come to fulfil a condition in time.
-    #[error("waited {timeout:?} in vain for {condition}: {answers}")]
-    AnswerTimeout {
+    /// The gateways' responses did not meet a condition in time.
+    #[error("condition not reached within {timeout:?}: {condition}; last responses: {responses}")]
+    ResponseTimeout {
         /// The condition.
         condition: String,
-        /// How long it was waited for.
+        /// The time limit.
         timeout: Duration,
-        /// The last answers.
-        answers: String,
+        /// The last responses.
+        responses: String,
     },
 }
--- a/crates/lab/src/rig/faults.rs
+++ b/crates/lab/src/rig/faults.rs
@@ -1,4 +1,4 @@
-//! The actions of an experiment's timeline, done to the running fleet.
+//! Applies the actions of an experiment's timeline to the running fleet.
 
 use super::proposals::propose;
 use super::{Rig, RigError, SHUTDOWN_TIMEOUT};
@@ -11,14 +11,14 @@
 use tokio::time::timeout;
 
 impl Rig {
-    /// Does one action to the fleet.
-    pub async fn apply(&self, act: &Action) -> Result<(), RigError> {
-        let act = &self.resolve(act).await?;
-        self.actions.borrow_mut().push((self.elapsed(), format!("{act:?}")));
-        match act {
+    /// Applies one action to the fleet.
+    pub async fn apply(&self, action: &Action) -> Result<(), RigError> {
+        let action = &self.resolve(action).await?;
+        self.actions.borrow_mut().push((self.elapsed(), format!("{action:?}")));
+        match action {
             Action::Kill(parties) => self.kill(parties).await?,
             Action::Terminate(parties) => self.terminate(parties)?,
-            Action::Start(parties) => self.start_again(parties).await?,
+            Action::Start(parties) => self.start_parties(parties).await?,
             Action::Roll(parties) => self.roll(parties).await?,
             Action::Stop(parties) => {
                 self.gateways_of(parties)?.iter().try_for_each(|gateway| gateway.stop())?
@@ -68,11 +68,11 @@
         Ok(())
     }
 
-    async fn start_again(&self, parties: &Parties) -> Result<(), RigError> {
+    async fn start_parties(&self, parties: &Parties) -> Result<(), RigError> {
         let names = self.party_names(parties)?;
         for backend in self.backends_of(parties)?.iter().filter(|backend| !backend.listener.is_open()) {
             backend.start(true).await?;
-            self.discovery.set(&backend.id, "ready");
+            self.discovery.set_phase(&backend.id, "ready");
         }
         if names.contains("counter") && !self.counter.listener.is_open() {
             self.counter.start().await?;
@@ -88,15 +88,15 @@
     async fn roll(&self, parties: &Parties) -> Result<(), RigError> {
         for gateway in self.gateways_of(parties)? {
             gateway.terminate()?;
-            let ended = timeout(SHUTDOWN_TIMEOUT, gateway.wait_for_end()).await;
-            ended.map_err(|_| RigError::DidNotEnd(gateway.name.clone()))?;
+            let exited = timeout(SHUTDOWN_TIMEOUT, gateway.wait_for_end()).await;
+            exited.map_err(|_| RigError::ExitTimeout(gateway.name.clone()))?;
             gateway.start().await?;
         }
         Ok(())
     }
 
     fn set_phase(&self, parties: &Parties, phase: &'static str) -> Result<(), RigError> {
-        self.backends_of(parties)?.iter().for_each(|backend| self.discovery.set(&backend.id, phase));
+        self.backends_of(parties)?.iter().for_each(|backend| self.discovery.set_phase(&backend.id, phase));
         Ok(())
     }
 
@@ -116,7 +116,7 @@
         Ok(())
     }
 
-    /// Proposes beside the timeline, which goes on meanwhile.
+    /// Starts a task that makes a proposal, so that the timeline continues meanwhile.
     fn start_proposal(&self, section: &str, key: &str, value: &str) {
         let (gateways, accepted) = (self.gateways.clone(), self.proposals.clone());
         let [section, key, value] = [section, key, value].map(str::to_string);
--- a/crates/lab/src/rig/parties.rs
+++ b/crates/lab/src/rig/parties.rs
@@ -1,4 +1,4 @@
-//! The gateways, backends and stand-ins that the names in an experiment file mean.
+//! Resolves the party names in an experiment file to gateways, backends and other stand-ins.
 
 use super::{Rig, RigError};
 use crate::experiment::{Action, Parties};
@@ -8,7 +8,8 @@
 use std::rc::Rc;
 
 impl Rig {
-    /// The names of all parties that the entries mean: single ones, zones, regions, all gateways or backends.
+    /// Returns the names of all parties that the entries select: single ones, zones, regions, all gateways or all
+    /// backends.
     pub(super) fn party_names(&self, parties: &Parties) -> Result<BTreeSet<String>, RigError> {
         let mut names = BTreeSet::new();
         for party in parties {
@@ -49,15 +50,16 @@
         Ok(self.backends.iter().filter(|backend| names.contains(&backend.id)).cloned().collect())
     }
 
-    /// The same with `leader` for the gateway that leads now, `zone:leader` for its zone, and `rest` for all gateways and
-    /// backends that no other group of a partition names.
-    pub(super) async fn resolve(&self, act: &Action) -> Result<Action, RigError> {
-        let mut act = act.clone();
-        let mut parties = act.parties();
+    /// Replaces the dynamic names of an action: `leader` by the gateway that currently leads the fleet document,
+    /// `zone:leader` by its zone, and `rest` by all gateways and backends that no other group of the action names.
+    pub(super) async fn resolve(&self, action: &Action) -> Result<Action, RigError> {
+        let mut action = action.clone();
+        let mut parties = action.parties();
         if parties.iter().any(|parties| parties.iter().any(|party| party.contains("leader"))) {
             let documents = self.get_json_from_all("/fleet/plan").await;
-            let name = documents.iter().find(|(_, plan)| plan["leads"] == true).map(|(name, _)| name);
-            let leader = self.gateways.iter().find(|gateway| Some(&gateway.name) == name);
+            let leader_name =
+                documents.iter().find(|(_, document)| document["leads"] == true).map(|(name, _)| name);
+            let leader = self.gateways.iter().find(|gateway| Some(&gateway.name) == leader_name);
             let leader = leader.ok_or(RigError::NoLeader)?;
             for party in parties.iter_mut().flat_map(|parties| parties.iter_mut()) {
                 match party.as_str() {
@@ -71,11 +73,15 @@
         for group in parties.iter().filter(|group| !group.contains(&"rest".to_string())) {
             named.extend(self.party_names(group)?);
         }
-        let all = self.gateways.iter().map(|g| &g.name).chain(self.backends.iter().map(|b| &b.id));
+        let all = self
+            .gateways
+            .iter()
+            .map(|gateway| &gateway.name)
+            .chain(self.backends.iter().map(|backend| &backend.id));
         let rest: Vec<String> = all.filter(|name| !named.contains(*name)).cloned().collect();
         for group in parties.iter_mut().filter(|group| group.contains(&"rest".to_string())) {
             **group = rest.clone();
         }
-        Ok(act)
+        Ok(action)
     }
 }
--- a/crates/lab/src/rig/proposals.rs
+++ b/crates/lab/src/rig/proposals.rs
@@ -1,4 +1,4 @@
-//! Proposals of changes to the fleet document.
+//! Proposes changes to the fleet document.
 
 use super::{POLL_INTERVAL, SHUTDOWN_TIMEOUT};
 use crate::gateway::{Gateway, ProcessState};
@@ -10,7 +10,8 @@
 
 const PROPOSE_PATH: &str = "/fleet/plan/propose";
 
-/// Proposes at one gateway after the other until one decides. Returns the index if the proposal was accepted.
+/// Sends a proposal to one running gateway after the other until one returns a decision. Returns the index if the
+/// proposal was accepted, and `None` otherwise.
 pub(super) async fn propose(
     gateways: &[Rc<Gateway>],
     id: u64,
@@ -22,16 +23,16 @@
         "id": id, "schema": 1, "proposer": "rig", "reason": "an experiment", "section": section, "key": key,
         "value": value,
     });
-    let until = Instant::now() + SHUTDOWN_TIMEOUT * 3;
-    while Instant::now() < until {
+    let deadline = Instant::now() + SHUTDOWN_TIMEOUT * 3;
+    while Instant::now() < deadline {
         for gateway in gateways.iter().filter(|gateway| gateway.process_state.get() == ProcessState::Running)
         {
             let response =
                 http::call(gateway.admin_address.get(), Method::POST, PROPOSE_PATH, body.to_string()).await;
             let Ok((200, response)) = response else { continue };
             let response: Value = serde_json::from_slice(&response).ok()?;
-            let verdict = &response["Decided"];
-            return verdict["Agreed"].as_u64().or(verdict["Known"].as_u64());
+            let decision = &response["Decided"];
+            return decision["Agreed"].as_u64().or(decision["Known"].as_u64());
         }
         sleep(POLL_INTERVAL).await;
     }
--- a/crates/lab/src/rig/queries.rs
+++ b/crates/lab/src/rig/queries.rs
@@ -1,4 +1,4 @@
-//! What the running gateways answer at their admin addresses.
+//! Queries the admin addresses of the running gateways.
 
 use super::Rig;
 use crate::gateway::{Gateway, ProcessState};
@@ -8,28 +8,29 @@
 use tokio::task::JoinSet;
 
 impl Rig {
-    /// The membership views of all running gateways that answer.
+    /// Returns the membership views of the running gateways that respond, by gateway name.
     pub async fn views(&self) -> BTreeMap<String, Value> {
         self.get_json_from_all("/fleet/members").await
     }
 
-    /// What every running gateway that answers says at a path of its admin address.
+    /// Fetches JSON from a path of every running gateway's admin address. Returns the successful responses by gateway
+    /// name.
     pub async fn get_json_from_all(&self, path: &'static str) -> BTreeMap<String, Value> {
         let mut queries = JoinSet::new();
         for gateway in self.running() {
             let gateway = gateway.clone();
             queries.spawn_local(async move { (gateway.name.clone(), gateway.get_json(path).await) });
         }
-        let mut answers = BTreeMap::new();
+        let mut responses = BTreeMap::new();
         while let Some(query) = queries.join_next().await {
-            if let Ok((name, Ok(answer))) = query {
-                answers.insert(name, answer);
+            if let Ok((name, Ok(response))) = query {
+                responses.insert(name, response);
             }
         }
-        answers
+        responses
     }
 
-    /// The gateways that run.
+    /// Returns the gateways whose process is running.
     pub fn running(&self) -> impl Iterator<Item = &Rc<Gateway>> {
         self.gateways.iter().filter(|gateway| gateway.process_state.get() == ProcessState::Running)
     }
--- a/crates/lab/src/rig/start.rs
+++ b/crates/lab/src/rig/start.rs
@@ -1,12 +1,12 @@
-//! Starts a fleet: the stand-ins, a relay on every path, then the gateways.
+//! Starts a fleet: first the stand-ins, then a relay on every path, then the gateways.
 
 use super::config::{gateway_config, GatewayRoutes};
 use super::{replication_address, Rig, RigError, SHUTDOWN_TIMEOUT};
 use crate::experiment::Experiment;
 use crate::gateway::Gateway;
 use crate::links::Links;
-use crate::load::{Generator, Ledger};
-use crate::stand_in::backend::{Arrival, Backend, Model};
+use crate::load::{Generator, LoadResults};
+use crate::stand_in::backend::{Arrival, Backend, ServiceModel};
 use crate::stand_in::counter::Counter;
 use crate::stand_in::discovery::{Discovery, Routes};
 use crate::stand_in::ServiceListener;
@@ -19,18 +19,19 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long a whole fleet may take to become ready, and to agree on its members.
+/// How long a fleet may take to become ready, and then again to agree on its members.
 const FLEET_START_TIMEOUT: Duration = SHUTDOWN_TIMEOUT.saturating_mul(3);
 /// The port of the advertised addresses.
 const ADVERTISED_PORT: u16 = 7946;
 
 impl Rig {
-    /// Starts all of an experiment's parties and waits until its gateways are ready and, with a fleet, agree.
+    /// Starts all parties of an experiment, and waits until the gateways are ready and, if membership is enabled,
+    /// agree on their members.
     pub async fn start(experiment: &Experiment, program: &Path, directory: &Path) -> Result<Rig, RigError> {
         Rig::start_with(experiment, program, directory, |_| ()).await
     }
 
-    /// The same, with each gateway's configuration changed before its start.
+    /// Like [`Rig::start`], but passes each gateway's configuration to `change` before the gateway starts.
     pub async fn start_with(
         experiment: &Experiment,
         program: &Path,
@@ -38,27 +39,27 @@
         change: impl Fn(&mut Value),
     ) -> Result<Rig, RigError> {
         std::fs::create_dir_all(directory)?;
-        let began = Instant::now();
+        let epoch = Instant::now();
         let arrivals = Rc::<RefCell<Vec<Arrival>>>::default();
-        let backends = start_backends(experiment, began, &arrivals).await?;
+        let backends = start_backends(experiment, epoch, &arrivals).await?;
         let counter = Rc::<Counter>::default();
         counter.start().await?;
-        let gateways = new_gateways(experiment, program, directory, began);
-        let ledger = Ledger::new();
+        let gateways = new_gateways(experiment, program, directory, epoch);
+        let results = LoadResults::new();
         let mut rig = Rig {
-            generator: Generator::new(&gateways, &experiment.load, ledger.clone(), began),
-            discovery: Discovery::new(&backends, began),
+            generator: Generator::new(&gateways, &experiment.load, results.clone(), epoch),
+            discovery: Discovery::new(&backends, epoch),
             links: Links::new(experiment.seed),
             gateways,
             backends,
             counter,
-            ledger,
+            results,
             arrivals,
             actions: RefCell::default(),
             terminated: RefCell::default(),
             directory: directory.to_path_buf(),
             experiment: experiment.clone(),
-            began,
+            epoch,
             discovery_listeners: Vec::new(),
             proposals: Rc::default(),
         };
@@ -73,19 +74,19 @@
         Ok(rig)
     }
 
-    /// Opens a gateway's own discovery listener, and a relay on each path from it to another party.
+    /// Opens a gateway's discovery listener, and a relay on each path from the gateway to another party.
     async fn open_routes(&self, gateway: &Gateway) -> std::io::Result<(ServiceListener, GatewayRoutes)> {
         let (links, name) = (&self.links, &gateway.name);
         let mut to_backends = Routes::new();
         for backend in &self.backends {
-            let relay = links.tcp(name, &backend.id, backend.listener.target.clone()).await?;
+            let relay = links.tcp(name, &backend.id, backend.listener.address.clone()).await?;
             to_backends.insert(backend.id.clone(), relay);
         }
         let listener = ServiceListener::default();
         self.discovery.open(&listener, name, Rc::new(to_backends)).await?;
         let mut routes = GatewayRoutes {
-            discovery: links.tcp(name, "discovery", listener.target.clone()).await?,
-            counter: links.tcp(name, "counter", self.counter.listener.target.clone()).await?,
+            discovery: links.tcp(name, "discovery", listener.address.clone()).await?,
+            counter: links.tcp(name, "counter", self.counter.listener.address.clone()).await?,
             membership: BTreeMap::new(),
             replication: BTreeMap::new(),
         };
@@ -104,7 +105,7 @@
         for gateway in &self.gateways {
             gateway.start().await?;
         }
-        self.generator.watch();
+        self.generator.start_health_checks();
         self.wait_until("all gateways ready", FLEET_START_TIMEOUT, || self.generator.all_healthy()).await?;
         if self.experiment.gateways.fleet {
             self.wait_for_agreement(FLEET_START_TIMEOUT).await?;
@@ -113,7 +114,7 @@
     }
 }
 
-/// Backends and gateways are spread over the zones in turn.
+/// Returns the zone of the backend or gateway at an index. Zones are assigned round-robin.
 fn zone_of(experiment: &Experiment, index: usize) -> String {
     let zones = experiment.zones();
     zones[index % zones.len()].clone()
@@ -121,21 +122,21 @@
 
 async fn start_backends(
     experiment: &Experiment,
-    began: Instant,
+    epoch: Instant,
     arrivals: &Rc<RefCell<Vec<Arrival>>>,
 ) -> Result<Vec<Rc<Backend>>, RigError> {
     let settings = &experiment.backends;
-    let model = Model {
+    let model = ServiceModel {
         slots: settings.slots,
         queue_limit: settings.waiting,
-        mean: Duration::from_millis(settings.mean_ms),
-        cold: (Duration::from_millis(settings.cold_ms), settings.cold_from),
+        mean_service_time: Duration::from_millis(settings.mean_ms),
+        cold_start: (Duration::from_millis(settings.cold_ms), settings.cold_from),
         seed: experiment.seed,
     };
     let mut backends = Vec::new();
     for index in 0..settings.count {
         let zone = zone_of(experiment, index);
-        let backend = Backend::new(format!("b{index}"), zone, model, began, arrivals.clone());
+        let backend = Backend::new(format!("b{index}"), zone, model, epoch, arrivals.clone());
         backend.start(false).await?;
         backends.push(backend);
     }
@@ -146,16 +147,17 @@
     experiment: &Experiment,
     program: &Path,
     directory: &Path,
-    began: Instant,
+    epoch: Instant,
 ) -> Vec<Rc<Gateway>> {
     let gateway = |index: usize| {
         let zone = zone_of(experiment, index);
-        Gateway::new(&format!("g{index}"), &zone, advertised_address(index), program, directory, began)
+        Gateway::new(&format!("g{index}"), &zone, advertised_address(index), program, directory, epoch)
     };
     (0..experiment.gateways.count).map(gateway).collect()
 }
 
-/// An address at which nothing listens: the others reach the gateway through the rig's relays.
+/// Returns the address that a gateway advertises. Nothing listens there: the other gateways connect to it through the
+/// rig's relays.
 fn advertised_address(index: usize) -> SocketAddr {
     SocketAddr::from(([127, 77, (index / 200) as u8, (index % 200 + 1) as u8], ADVERTISED_PORT))
 }
--- a/crates/lab/src/rig/waiting.rs
+++ b/crates/lab/src/rig/waiting.rs
@@ -1,4 +1,4 @@
-//! Waiting, with a limit, until a condition holds.
+//! Waits, with a time limit, until conditions on the fleet become true.
 
 use super::{Rig, RigError, POLL_INTERVAL};
 use crate::checks;
@@ -8,40 +8,41 @@
 use tokio::time::{sleep, timeout, Instant};
 
 impl Rig {
-    /// Waits until a condition holds.
+    /// Waits until a condition becomes true.
     pub async fn wait_until(
         &self,
         condition: &str,
         limit: Duration,
         holds: impl Fn() -> bool,
     ) -> Result<(), RigError> {
-        let waiting = async {
+        let polling = async {
             while !holds() {
                 sleep(POLL_INTERVAL).await;
             }
         };
-        timeout(limit, waiting)
+        timeout(limit, polling)
             .await
             .map_err(|_| RigError::ConditionTimeout { condition: condition.to_string(), timeout: limit })
     }
 
-    /// Waits until a condition holds for the membership views of all running gateways.
+    /// Waits until a condition holds for the membership views of the running gateways that respond.
     pub async fn wait_for_views(
         &self,
         condition: &str,
         limit: Duration,
         holds: impl Fn(&BTreeMap<String, Value>) -> bool,
     ) -> Result<(), RigError> {
-        self.poll_answers("/fleet/members", condition, limit, holds, summary).await.map(drop)
+        self.poll_responses("/fleet/members", condition, limit, holds, view_summary).await.map(drop)
     }
 
-    /// Waits until all running gateways have the same view, and it names those that run and no others.
+    /// Waits until all running gateways have the same view, with exactly the running gateways as alive.
     pub async fn wait_for_agreement(&self, limit: Duration) -> Result<(), RigError> {
         let running: BTreeSet<String> = self.running().map(|gateway| gateway.name.clone()).collect();
-        self.wait_for_views("views that agree", limit, |views| checks::views_agree(views, &running)).await
+        self.wait_for_views("views agree", limit, |views| checks::views_agree(views, &running)).await
     }
 
-    /// Waits until a condition holds for the answers of all running gateways at a path of their admin addresses.
+    /// Waits until a condition holds for the responses of the running gateways from a path of their admin addresses,
+    /// and returns these responses.
     pub async fn wait_for_answers(
         &self,
         condition: &str,
@@ -49,11 +50,13 @@
         limit: Duration,
         holds: impl Fn(&BTreeMap<String, Value>) -> bool,
     ) -> Result<BTreeMap<String, Value>, RigError> {
-        self.poll_answers(path, condition, limit, holds, |name, answer| format!("{name} {answer}")).await
+        self.poll_responses(path, condition, limit, holds, |name, response| format!("{name} {response}"))
+            .await
     }
 
-    /// The same; after the limit the error holds the last answers as `describe` prints them.
-    async fn poll_answers(
+    /// Polls a path of the admin addresses until a condition holds. After the limit it returns an error with the last
+    /// responses as formatted by `describe`.
+    async fn poll_responses(
         &self,
         path: &'static str,
         condition: &str,
@@ -63,17 +66,17 @@
     ) -> Result<BTreeMap<String, Value>, RigError> {
         let deadline = Instant::now() + limit;
         loop {
-            let answers = self.get_json_from_all(path).await;
-            if holds(&answers) {
-                return Ok(answers);
+            let responses = self.get_json_from_all(path).await;
+            if holds(&responses) {
+                return Ok(responses);
             }
             if Instant::now() >= deadline {
                 let described: Vec<String> =
-                    answers.iter().map(|(name, answer)| describe(name, answer)).collect();
-                return Err(RigError::AnswerTimeout {
+                    responses.iter().map(|(name, response)| describe(name, response)).collect();
+                return Err(RigError::ResponseTimeout {
                     condition: condition.to_string(),
                     timeout: limit,
-                    answers: described.join("; "),
+                    responses: described.join("; "),
                 });
             }
             sleep(POLL_INTERVAL).await;
@@ -81,8 +84,8 @@
     }
 }
 
-/// A view in one line: its digest, and the state of each member.
-fn summary(name: &str, view: &Value) -> String {
+/// Formats a view in one line: its digest and the state of each member.
+fn view_summary(name: &str, view: &Value) -> String {
     let members = view["members"].as_array().into_iter().flatten();
     let rows = members.map(|row| {
         format!("{} {}", row["name"].as_str().unwrap_or("?"), row["standing"].as_str().unwrap_or("?"))
--- a/crates/lab/src/stand_in.rs
+++ b/crates/lab/src/stand_in.rs
@@ -1,5 +1,7 @@
-//! Stand-ins for what a gateway speaks with, written from the protocol page: backends, the counter, discovery. Each
-//! can be killed and started again, at another port; what they record does not depend on what a gateway reports.
+//! Stand-ins for the services that a gateway depends on: backends, the counter and discovery.
+//!
+//! They are written from the protocol's documentation. Each can be killed and restarted on another port, and records
+//! what it receives itself, independently of what a gateway reports.
 
 pub mod backend;
 pub mod counter;
@@ -17,22 +19,22 @@
 use tokio::net::TcpListener;
 use tokio::task::{spawn_local, JoinHandle};
 
-/// A listener that can be closed with all its connections, and opened again at another port.
+/// A listener that can be closed together with all its connections, and reopened on another port.
 pub struct ServiceListener {
-    /// Where it is, or was last.
-    pub target: SharedAddress,
+    /// The current address, or the last one if the listener is closed.
+    pub address: SharedAddress,
     task: RefCell<Option<JoinHandle<()>>>,
 }
 
 impl Default for ServiceListener {
     fn default() -> ServiceListener {
         let unbound_address = SocketAddr::from(([127, 0, 0, 1], 1));
-        ServiceListener { target: Rc::new(Cell::new(unbound_address)), task: RefCell::default() }
+        ServiceListener { address: Rc::new(Cell::new(unbound_address)), task: RefCell::default() }
     }
 }
 
 impl ServiceListener {
-    /// Listens with this service, in place of the one before.
+    /// Opens the listener on a new port and serves it with `service`, closing the previous one.
     pub async fn open<F, A>(&self, service: F) -> io::Result<()>
     where
         F: Fn(Request<Incoming>) -> A + 'static,
@@ -40,17 +42,17 @@
     {
         self.close();
         let listener = TcpListener::bind("127.0.0.1:0").await?;
-        self.target.set(listener.local_addr()?);
+        self.address.set(listener.local_addr()?);
         *self.task.borrow_mut() = Some(spawn_local(http::serve(listener, service)));
         Ok(())
     }
 
-    /// Closes it and every connection.
+    /// Closes the listener and all its connections.
     pub fn close(&self) {
         self.task.borrow_mut().take().into_iter().for_each(|task| task.abort());
     }
 
-    /// Whether it is open.
+    /// Returns whether the listener is open.
     pub fn is_open(&self) -> bool {
         self.task.borrow().is_some()
     }
@@ -62,7 +64,7 @@
     }
 }
 
-/// The value of a parameter in a query.
+/// Returns the value of a parameter in a query string.
 fn query_parameter<'a>(query: &'a str, name: &str) -> Option<&'a str> {
     query.split('&').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='))
 }
--- a/crates/lab/src/stand_in/backend.rs
+++ b/crates/lab/src/stand_in/backend.rs
@@ -1,4 +1,5 @@
-//! A backend: slots, a waiting room, service times drawn from the seed and the request's id, a cold start, load reports.
+//! Simulates a backend: slots, a bounded queue, service times drawn from the seed and the request's id, a cold start
+//! and load reports.
 
 use super::{query_parameter, ServiceListener};
 use crate::http::{response, HttpResponse};
@@ -13,66 +14,66 @@
 use tokio::time::{sleep, Instant};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// The behaviour of a backend.
+/// The capacity and service times of a backend.
 #[derive(Clone, Copy, Debug)]
-pub struct Model {
-    /// Requests that it works on at once.
+pub struct ServiceModel {
+    /// The number of requests served concurrently.
     pub slots: usize,
-    /// Those that wait beside them; further ones are rejected.
+    /// The number of further requests that may wait; all others are rejected.
     pub queue_limit: usize,
-    /// The mean time of service.
-    pub mean: Duration,
-    /// How long it is cold after a start, and the part of its speed that it starts with.
-    pub cold: (Duration, f64),
-    /// From which service times are drawn.
+    /// The mean service time.
+    pub mean_service_time: Duration,
+    /// How long the backend warms up after a restart, and the share of its full speed at which it begins.
+    pub cold_start: (Duration, f64),
+    /// The seed of the service times.
     pub seed: u64,
 }
 
-/// The fault of a backend.
+/// The injected fault of a backend.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum BackendFault {
-    /// Nothing.
+    /// No fault.
     None,
-    /// It takes so many times as long.
+    /// Service times are multiplied by the factor.
     Slow(f64),
-    /// It answers 500 at once.
+    /// Requests get status 500 as soon as they have a slot.
     Failing,
-    /// It does not respond.
+    /// Requests never get a response.
     Frozen,
 }
 
-/// A request that arrived whole.
+/// A request that a backend has received completely.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    /// Its id.
-    pub call: String,
-    /// The backend.
+    /// The id of the request.
+    pub request_id: String,
+    /// The id of the backend.
     pub backend: String,
-    /// When, since the rig began.
+    /// The time of arrival, since the rig started.
     pub at: Duration,
-    /// Its customer.
+    /// The id of the customer.
     pub customer: u64,
-    /// The units that it names.
+    /// The units that the request consumes.
     pub units: f64,
-    /// Whether it ran, or began to; otherwise it was rejected.
-    pub ran: bool,
+    /// Whether the backend accepted the request for execution rather than rejecting it.
+    pub executed: bool,
 }
 
-/// A backend.
+/// A simulated backend.
 pub struct Backend {
-    /// Its id.
+    /// The backend's id.
     pub id: String,
-    /// Its zone.
+    /// The backend's zone.
     pub zone: String,
-    /// Where it listens.
+    /// The listener for requests.
     pub listener: ServiceListener,
-    /// Its fault.
+    /// The current fault.
     pub fault: Cell<BackendFault>,
-    /// When it last started, in milliseconds of Unix time; 0: before the rig.
+    /// The Unix time of the last cold start, in milliseconds; 0 if there was none.
     pub up_since_ms: Cell<u64>,
-    model: Model,
-    began: Instant,
-    started: Cell<Instant>,
+    model: ServiceModel,
+    epoch: Instant,
+    warming_since: Cell<Instant>,
     incarnation: Cell<u32>,
     slots: RefCell<Rc<Semaphore>>,
     in_flight: Cell<usize>,
@@ -80,12 +81,12 @@
 }
 
 impl Backend {
-    /// A backend that is not running yet, and notes what arrives.
+    /// Creates a backend that is not running yet, and records its requests in `arrivals`.
     pub fn new(
         id: String,
         zone: String,
-        model: Model,
-        began: Instant,
+        model: ServiceModel,
+        epoch: Instant,
         arrivals: Rc<RefCell<Vec<Arrival>>>,
     ) -> Rc<Backend> {
         Rc::new(Backend {
@@ -95,9 +96,9 @@
             fault: Cell::new(BackendFault::None),
             up_since_ms: Cell::new(0),
             model,
-            began,
-            // Long ago: the first incarnation is warm.
-            started: Cell::new(began.checked_sub(model.cold.0).unwrap_or(began)),
+            epoch,
+            // In the past, so that the first incarnation is warm.
+            warming_since: Cell::new(epoch.checked_sub(model.cold_start.0).unwrap_or(epoch)),
             incarnation: Cell::new(0),
             slots: RefCell::new(Rc::new(Semaphore::new(model.slots))),
             in_flight: Cell::new(0),
@@ -105,13 +106,13 @@
         })
     }
 
-    /// Starts it; `cold`: as a process does that has just come up.
+    /// Starts the backend. If `cold` is set it has to warm up, like a process that has just been started.
     pub async fn start(self: &Rc<Self>, cold: bool) -> io::Result<()> {
         self.incarnation.set(self.incarnation.get() + 1);
         *self.slots.borrow_mut() = Rc::new(Semaphore::new(self.model.slots));
         self.in_flight.set(0);
         if cold {
-            self.started.set(Instant::now());
+            self.warming_since.set(Instant::now());
             let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
             self.up_since_ms.set(unix.as_millis() as u64);
         }
@@ -119,7 +120,7 @@
         self.listener.open(move |request| backend.clone().serve(request)).await
     }
 
-    /// Closes it and every connection.
+    /// Closes the listener and all its connections.
     pub fn kill(&self) {
         self.listener.close();
     }
@@ -128,17 +129,26 @@
         let incarnation = self.incarnation.get();
         let header =
             |name: &str| request.headers().get(name).and_then(|v| v.to_str().ok()).map(str::to_string);
-        let Some(call) = header("x-call-id") else { return Some(response(StatusCode::NOT_FOUND, "no id")) };
+        let Some(id) = header("x-call-id") else {
+            return Some(response(StatusCode::NOT_FOUND, "no id"));
+        };
         let query = request.uri().query().unwrap_or_default().to_string();
         let customer = query_parameter(&query, "customer").and_then(|hex| u64::from_str_radix(hex, 16).ok());
         let units = query_parameter(&query, "units").and_then(|units| units.parse().ok()).unwrap_or(1.0);
-        // A request begins when its last byte has come.
+        // A request counts as arrived when its last byte has been received.
         crate::http::drain(request.into_body()).await.ok()?;
-        let ran = self.in_flight.get() < self.model.slots + self.model.queue_limit;
-        let (backend, at) = (self.id.clone(), self.began.elapsed());
+        let executed = self.in_flight.get() < self.model.slots + self.model.queue_limit;
+        let (backend, at) = (self.id.clone(), self.epoch.elapsed());
         let customer = customer.unwrap_or_default();
-        self.arrivals.borrow_mut().push(Arrival { call: call.clone(), backend, at, customer, units, ran });
-        if !ran {
+        self.arrivals.borrow_mut().push(Arrival {
+            request_id: id.clone(),
+            backend,
+            at,
+            customer,
+            units,
+            executed,
+        });
+        if !executed {
             let mut rejected = response(StatusCode::SERVICE_UNAVAILABLE, "");
             rejected.headers_mut().insert("x-rejected", HeaderValue::from_static("1"));
             return Some(rejected);
@@ -151,9 +161,9 @@
             BackendFault::Failing => return Some(response(StatusCode::INTERNAL_SERVER_ERROR, "")),
             BackendFault::Slow(_) | BackendFault::None => {}
         }
-        sleep(self.service_time(&call)).await;
+        sleep(self.service_time(&id)).await;
         drop(slot);
-        let mut served = response(StatusCode::OK, format!("{call} {} {incarnation}", self.id));
+        let mut served = response(StatusCode::OK, format!("{id} {} {incarnation}", self.id));
         let util = (self.in_flight.get() as f64 / self.model.slots as f64).min(1.0);
         let queue = self.in_flight.get().saturating_sub(self.model.slots);
         if let Ok(report) = HeaderValue::from_str(&format!("TEXT queue={queue}, util={util:.2}")) {
@@ -162,18 +172,20 @@
         Some(served)
     }
 
-    /// The time of service: half to one and a half of the mean, the same for one id and seed, longer while cold.
-    fn service_time(&self, call: &str) -> Duration {
-        let drawn = xxh3_64_with_seed(call.as_bytes(), self.model.seed) as f64 / u64::MAX as f64;
-        let (cold, from) = self.model.cold;
-        let warmth = (self.started.get().elapsed().as_secs_f64() / cold.as_secs_f64().max(1e-3)).min(1.0);
-        let speed = from + (1.0 - from) * warmth;
-        let slow = if let BackendFault::Slow(times) = self.fault.get() { times } else { 1.0 };
-        self.model.mean.mul_f64((0.5 + drawn) * slow / speed.max(0.01))
+    /// Returns the service time of a request: 0.5 to 1.5 times the mean, determined by the request's id and the seed,
+    /// and longer while the backend is cold.
+    fn service_time(&self, request_id: &str) -> Duration {
+        let uniform = xxh3_64_with_seed(request_id.as_bytes(), self.model.seed) as f64 / u64::MAX as f64;
+        let (warm_up, initial_speed) = self.model.cold_start;
+        let warmth =
+            (self.warming_since.get().elapsed().as_secs_f64() / warm_up.as_secs_f64().max(1e-3)).min(1.0);
+        let speed = initial_speed + (1.0 - initial_speed) * warmth;
+        let slowdown = if let BackendFault::Slow(factor) = self.fault.get() { factor } else { 1.0 };
+        self.model.mean_service_time.mul_f64((0.5 + uniform) * slowdown / speed.max(0.01))
     }
 }
 
-/// One request that is here, until its end.
+/// Counts a request as in flight until it is dropped. Holds the backend and its incarnation at the arrival.
 struct InFlight(Rc<Backend>, u32);
 
 impl InFlight {
@@ -185,7 +197,7 @@
 
 impl Drop for InFlight {
     fn drop(&mut self) {
-        // What a killed incarnation held is gone with it.
+        // A restart resets the count, so requests of an earlier incarnation no longer count.
         if self.0.incarnation.get() == self.1 {
             self.0.in_flight.set(self.0.in_flight.get().saturating_sub(1));
         }
--- a/crates/lab/src/stand_in/discovery.rs
+++ b/crates/lab/src/stand_in/discovery.rs
@@ -1,5 +1,7 @@
-//! Discovery: the list of backends with revisions and held watches, at a listener of each gateway's own, where every
-//! backend has the address by which that gateway reaches it.
+//! Simulates discovery: the endpoint list, with revisions and long polls.
+//!
+//! Each gateway has a listener of its own, because the list contains the addresses of that gateway's relays to the
+//! backends.
 
 use super::backend::Backend;
 use super::{query_parameter, ServiceListener};
@@ -16,38 +18,39 @@
 use tokio::sync::watch;
 use tokio::time::{timeout, Instant};
 
-/// The longest time that a watch is held open.
+/// The maximum time for which a long poll is held open.
 const MAX_HOLD_MS: u64 = 60_000;
 
-/// One entry and the revision of its last change.
+/// An entry of the endpoint list and the revision of its last change.
 struct Entry {
     backend: Rc<Backend>,
     phase: &'static str,
-    changed: u64,
+    changed_revision: u64,
 }
 
-/// The list, for all gateways.
+/// A simulated discovery service for all gateways.
 pub struct Discovery {
     entries: RefCell<Vec<Entry>>,
     revision: watch::Sender<u64>,
-    /// When each gateway was first sent that a backend is draining or gone, by gateway and backend.
+    /// The time when a gateway was first notified that a backend is draining or gone, by gateway and backend.
     pub drain_notices: RefCell<HashMap<(String, String), Duration>>,
-    began: Instant,
+    epoch: Instant,
 }
 
-/// The addresses by which one gateway reaches the backends.
+/// The addresses of one gateway's relays to the backends, by backend.
 pub type Routes = HashMap<String, SocketAddr>;
 
 impl Discovery {
-    /// A list with these backends, all ready.
-    pub fn new(backends: &[Rc<Backend>], began: Instant) -> Rc<Discovery> {
-        let entry = |backend: &Rc<Backend>| Entry { backend: backend.clone(), phase: "ready", changed: 1 };
+    /// Creates a service whose list has these backends, all ready.
+    pub fn new(backends: &[Rc<Backend>], epoch: Instant) -> Rc<Discovery> {
+        let entry =
+            |backend: &Rc<Backend>| Entry { backend: backend.clone(), phase: "ready", changed_revision: 1 };
         let entries = RefCell::new(backends.iter().map(entry).collect());
         let (revision, drain_notices) = (watch::Sender::new(1), RefCell::default());
-        Rc::new(Discovery { entries, revision, drain_notices, began })
+        Rc::new(Discovery { entries, revision, drain_notices, epoch })
     }
 
-    /// Opens a gateway's listener.
+    /// Opens the listener of a gateway.
     pub async fn open(
         self: &Rc<Self>,
         listener: &ServiceListener,
@@ -58,12 +61,12 @@
         listener.open(move |request| discovery.clone().serve(request, gateway.clone(), routes.clone())).await
     }
 
-    /// A backend is `ready`, `draining` or `gone` from now on; its start time is listed anew.
-    pub fn set(&self, backend: &str, phase: &'static str) {
+    /// Sets the phase of a backend: `ready`, `draining` or `gone`. The next list also has its current start time.
+    pub fn set_phase(&self, backend: &str, phase: &'static str) {
         let revision = *self.revision.borrow() + 1;
         let mut entries = self.entries.borrow_mut();
         for entry in entries.iter_mut().filter(|entry| entry.backend.id == backend) {
-            (entry.phase, entry.changed) = (phase, revision);
+            (entry.phase, entry.changed_revision) = (phase, revision);
         }
         drop(entries);
         if phase == "ready" {
@@ -72,7 +75,7 @@
         self.revision.send_replace(revision);
     }
 
-    /// Whether a backend takes work by the list.
+    /// Returns whether the list has a backend as ready.
     pub fn is_ready(&self, backend: &str) -> bool {
         self.entries.borrow().iter().any(|entry| entry.backend.id == backend && entry.phase == "ready")
     }
@@ -92,7 +95,7 @@
         let mut revision = self.revision.subscribe();
         if let Some(from) = from {
             let hold = Duration::from_millis(hold.min(MAX_HOLD_MS));
-            // After the hold it answers without changes.
+            // If the hold expires the response has no changes.
             let _ = timeout(hold, revision.wait_for(|revision| *revision > from)).await;
         }
         let list = self.list(from, &gateway, &routes);
@@ -102,14 +105,14 @@
     fn list(&self, from: Option<u64>, gateway: &str, routes: &Routes) -> Value {
         let entries = self.entries.borrow();
         let wanted = entries.iter().filter(|entry| match from {
-            Some(from) => entry.changed > from,
+            Some(from) => entry.changed_revision > from,
             None => entry.phase != "gone",
         });
         let members = wanted.filter_map(|entry| {
             let backend = &entry.backend;
             if entry.phase != "ready" {
                 let key = (gateway.to_string(), backend.id.clone());
-                self.drain_notices.borrow_mut().entry(key).or_insert_with(|| self.began.elapsed());
+                self.drain_notices.borrow_mut().entry(key).or_insert_with(|| self.epoch.elapsed());
             }
             Some(json!({
                 "id": backend.id, "host_port": routes.get(&backend.id)?, "locality": backend.zone, "flavor": "m",
