--- a/crates/lab/src/checks.rs
+++ b/crates/lab/src/checks.rs
@@ -35,10 +35,11 @@
     Violation { check, observed }
 }
 
-/// Returns the violations by requests and processes.
+/// Checks the requests of the load and the gateways' processes, and returns the violations.
 ///
-/// These are requests without a response, with a forged or an extra one, executed twice, sent to a drained backend or
-/// forwarded beyond quotas, too few requests served, and processes that crashed or exceeded their resource bounds.
+/// Violations are requests without a response, with a forged or an extra one, executed twice, sent to a drained
+/// backend or forwarded beyond quotas, too few requests served, and processes that crashed or exceeded their resource
+/// bounds.
 pub fn request_violations(run: &RunRecord<'_>) -> Vec<Violation> {
     let (requests, arrivals) = (run.results.requests.borrow(), &run.arrivals);
     let requests_by_id: HashMap<&str, &RequestRecord> =
@@ -73,7 +74,7 @@
     violations
 }
 
-/// Returns the crashes of a gateway's process and the resource bounds that it exceeded.
+/// Reports the crashes of a gateway's process and the resource bounds that it exceeded.
 fn process_violations(gateway: &Gateway, bounds: &Checks) -> Vec<Violation> {
     let crashes = gateway.crashes.borrow();
     let mut violations: Vec<Violation> =
@@ -88,7 +89,7 @@
     violations
 }
 
-/// Returns the requests without a final response, except those whose gateway was killed or stopped meanwhile.
+/// Reports the requests without a final response, except those whose gateway was killed or stopped meanwhile.
 fn missing_responses(requests: &[RequestRecord], gateways: &[Rc<Gateway>]) -> Vec<Violation> {
     let excused = |record: &RequestRecord| {
         let gateway = gateways.iter().find(|gateway| gateway.name == record.gateway);
@@ -118,7 +119,7 @@
     .collect()
 }
 
-/// Returns the responses whose body no backend produced for that request.
+/// Reports the responses whose body no backend produced for that request.
 fn forged_responses(requests: &[RequestRecord], arrivals: &[Arrival]) -> Vec<Violation> {
     let executed: BTreeSet<(&str, &str)> = arrivals
         .iter()
@@ -145,7 +146,7 @@
         .collect()
 }
 
-/// Returns the requests that are not idempotent and were executed more than once.
+/// Reports the requests that are not idempotent and were executed more than once.
 fn duplicate_executions(
     requests_by_id: &HashMap<&str, &RequestRecord>,
     arrivals: &[Arrival],
@@ -172,7 +173,7 @@
         .collect()
 }
 
-/// Returns the requests that arrived at a backend too long after their gateway was notified that it drains.
+/// Reports the requests that arrived at a backend too long after their gateway was notified that it drains.
 fn requests_after_drain(
     drain_notices: &HashMap<(String, String), Duration>,
     requests_by_id: &HashMap<&str, &RequestRecord>,
@@ -262,7 +263,7 @@
     violation("proposals", format!("{} accepted, expected {required}: {accepted:?}", accepted.len()))
 }
 
-/// Returns the violations of the fleet document's consistency.
+/// Checks the consistency of the fleet document, and returns the violations.
 ///
 /// At the end all gateways must have the same document. Each index must have had the same content at every gateway in
 /// every incarnation, with fencing tokens ascending by index, and each accepted proposal must be in the history.
@@ -338,8 +339,8 @@
     Some((term.parse().ok()?, index.parse().ok()?))
 }
 
-/// Returns the violations of membership at the end: views that disagree, and gateways that were sent SIGTERM and are
-/// not recorded as `left` by every other one.
+/// Checks membership at the end, and returns the violations: views that disagree, and gateways that were sent SIGTERM
+/// and are not recorded as `left` in every view.
 pub fn membership_violations(
     disagreement: Option<String>,
     views: &BTreeMap<String, Value>,
--- a/crates/lab/src/gateway.rs
+++ b/crates/lab/src/gateway.rs
@@ -112,7 +112,7 @@
 /// The state of a gateway's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessState {
-    /// Not started, killed, or exited as expected.
+    /// Not running: not started yet, or exited.
     Stopped,
     /// Running.
     Running,
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -278,7 +278,7 @@
             outcome: Outcome::Pending,
         };
         let lateness = due.elapsed();
-        // Fails only beyond the histogram's maximum of a minute. A request as late as that makes no valid run.
+        // Fails only beyond the histogram's maximum of a minute, which is invalid in any case.
         let _ = self.results.lateness.borrow_mut().record(lateness.as_micros() as u64);
         let request = || {
             let remaining_ms = deadline.saturating_sub(due.elapsed()).as_millis();
