--- a/crates/lab/src/stand_in/backend.rs
+++ b/crates/lab/src/stand_in/backend.rs
@@ -129,9 +129,7 @@
         let incarnation = self.incarnation.get();
         let header =
             |name: &str| request.headers().get(name).and_then(|v| v.to_str().ok()).map(str::to_string);
-        let Some(id) = header("x-call-id") else {
-            return Some(response(StatusCode::NOT_FOUND, "no id"));
-        };
+        let Some(id) = header("x-call-id") else { return Some(response(StatusCode::NOT_FOUND, "no id")) };
         let query = request.uri().query().unwrap_or_default().to_string();
         let customer = query_parameter(&query, "customer").and_then(|hex| u64::from_str_radix(hex, 16).ok());
         let units = query_parameter(&query, "units").and_then(|units| units.parse().ok()).unwrap_or(1.0);
