--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -212,7 +212,7 @@
     let Some(section) = &setup.admin else { return Ok(()) };
     let (listener, address) = bind(section.listen).await?;
     // The rig finds the address by this line.
-    info!(%address, "the operators' door is open");
+    info!(%address, "admin interface open");
     let sources = admin::Sources { driver: driver.sender(), fleet, replication };
     spawn_local(admin::serve(listener, section.clone(), sources));
     Ok(())
--- a/crates/lab/src/defective_gateway.rs
+++ b/crates/lab/src/defective_gateway.rs
@@ -64,7 +64,7 @@
     let (leaked, served) = Default::default();
     let gateway = Rc::new(DefectiveGateway { defect, discovery, initial_backends, leaked, served });
     eprintln!("joining the fleet listen={}", socket.local_addr()?);
-    eprintln!("the operators' door is open address={}", admin.local_addr()?);
+    eprintln!("admin interface open address={}", admin.local_addr()?);
     eprintln!("listening address={}", listener.local_addr()?);
     let mut terminate = signal(SignalKind::terminate())?;
     loop {
--- a/crates/lab/src/gateway.rs
+++ b/crates/lab/src/gateway.rs
@@ -258,7 +258,7 @@
         for (line, target) in [
             ("joining the fleet", &self.membership_address),
             ("plan: open", &self.replication_address),
-            ("the operators' door is open", &self.admin_address),
+            ("admin interface open", &self.admin_address),
             ("listening", &self.client_address),
         ] {
             if line.contains("fleet") && !fleet || line.contains("plan") && !plan {
--- a/crates/lanespan/tests/platform.rs
+++ b/crates/lanespan/tests/platform.rs
@@ -41,7 +41,7 @@
             assert_eq!(node.client().ask(&request("look", 3000)).status(), 200, "{key}: {value}");
             let first = node.started();
             assert!(
-                !first.contains("door is open") && !first.contains("joining the fleet"),
+                !first.contains("admin interface open") && !first.contains("joining the fleet"),
                 "{key}: {first}"
             );
             let ours = key != "limits" && key != "known";
@@ -93,7 +93,7 @@
     let node = Node::spawn(command);
     // The first line with an address is the door's.
     let listening = node.wait_for_line("listening");
-    assert!(node.started().contains("the operators' door is open"), "{}", node.started());
+    assert!(node.started().contains("admin interface open"), "{}", node.started());
     let wrong = r#"{"pool":{"links":0}}"#;
     std::fs::write(&sections, wrong).expect("written");
     node.signal("HUP");
