--- a/crates/gateway/src/config/document.rs
+++ b/crates/gateway/src/config/document.rs
@@ -1,5 +1,5 @@
-//! The configuration file: its keys, what each may hold, and what holds where a key is absent. The reference in
-//! docs/configuration.md and the schema are made from these.
+//! The structure of the configuration file: its keys, their types and their defaults. The reference in
+//! docs/configuration.md and the JSON schema are generated from it, doc comments included.
 
 use schemars::JsonSchema;
 use serde::de::Error;
@@ -11,31 +11,31 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// The longest span that a key may name.
+/// The longest duration that a key in milliseconds accepts: one hour.
 pub const MAX_DURATION_MS: u64 = 3_600_000;
 
-/// A whole number from 1 to `MAX`.
+/// An integer from 1 to `MAX`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub struct BoundedInt<const MAX: u64>(u64);
 
-/// A span in milliseconds.
+/// A duration in milliseconds, up to [`MAX_DURATION_MS`].
 pub type Millis = BoundedInt<MAX_DURATION_MS>;
-/// A count.
+/// A count from 1 to 1,000,000.
 pub type Count = BoundedInt<1_000_000>;
 
 impl<const MAX: u64> BoundedInt<MAX> {
-    /// The number.
+    /// Returns the number.
     pub fn get(self) -> usize {
         usize::try_from(self.0).unwrap_or(usize::MAX)
     }
-    /// As milliseconds.
+    /// Returns the duration, for a number that counts milliseconds.
     pub fn to_duration(self) -> Duration {
         Duration::from_millis(self.0)
     }
 }
 
 impl<const MAX: u64> BoundedInt<MAX> {
-    /// Reads one; `None` if it is none, or out of its range.
+    /// Reads a number. Returns `None` if the value is not an integer or is out of range.
     pub fn read(value: &Value) -> Option<Self> {
         value.as_u64().filter(|number| (1..=MAX).contains(number)).map(BoundedInt)
     }
@@ -64,50 +64,51 @@
 #[derive(Debug, Clone, Default, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Document {
-    /// The gateway's name. NODE_NAME goes before it.
+    /// The gateway's name. The environment variable NODE_NAME overrides it.
     pub name: Option<String>,
-    /// The address and port for clients. NODE_LISTEN goes before it; one of them must be there.
+    /// The address and port to listen on for clients. NODE_LISTEN overrides it; one of the two is required.
     pub listen: Option<SocketAddr>,
-    /// The address and port of discovery. NODE_DISCOVERY goes before it at the start; one of them must be there.
+    /// The address and port of discovery. NODE_DISCOVERY overrides it at startup, but not at a reload; one of the two
+    /// is required.
     pub discovery: Option<SocketAddr>,
-    /// 16 hex digits, from which random numbers are drawn; by default drawn anew at each start.
+    /// The seed of all random numbers, 16 hex digits. By default a new one is chosen at each start.
     pub seed: Option<String>,
-    /// What the machine bears.
+    /// The resources of the machine.
     pub limits: Limits,
-    /// The address and port of the counter; must be there where the settings have one.
+    /// The address and port of the shared counter. Required if settings.specifics.counter is true.
     pub counter: Option<SocketAddr>,
-    /// The list of backends as it was last known, in discovery's form.
+    /// The endpoint list as last known, in discovery's format. It is used until discovery has answered.
     #[schemars(with = "Value")]
     pub known: Value,
-    /// What the deployment calls headers, paths, fields and states, in the platform's form. A file that LANESPAN_NAMES
-    /// names goes before it; absent: the names of the protocol.
+    /// The deployment's names for headers, paths, fields and states, in the platform's format. The file named by
+    /// LANESPAN_NAMES overrides it. If absent, the names of the protocol apply.
     #[schemars(with = "Value")]
     pub names: Value,
-    /// The connections to backends.
+    /// The limits on connections to backends.
     pub pool: PoolSection,
-    /// Long answers and uploads. Absent: bodies are collected whole, 64 KiB at most.
+    /// Streaming of long responses and uploads. If absent, bodies are buffered completely, up to 64 KiB.
     pub streaming: Option<StreamingSection>,
-    /// The operators' door: metrics, health and state. Absent: closed.
+    /// The admin interface with metrics, health checks and state. If absent, it is disabled.
     pub admin: Option<AdminSection>,
-    /// The gateways of the fleet among each other. Absent: this gateway knows of no other.
+    /// Membership of a fleet of gateways. If absent, this gateway communicates with no other gateway.
     pub fleet: Option<FleetSection>,
-    /// The site: classes, plans, zones and bounds, with the names that the simulator gives them.
+    /// The site: classes, quota plans, zones and limits, under the names that the simulator uses.
     pub settings: Value,
 }
 
-/// The keys of the sections.
+/// The keys whose values are sections.
 pub const SECTIONS: [&str; 8] =
     ["limits", "known", "names", "pool", "streaming", "admin", "fleet", "settings"];
 
-/// What the machine bears.
+/// The resources of the machine.
 #[derive(Debug, Clone, PartialEq, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
-    /// Cores; told, and not used: the gateway has one thread.
+    /// CPU cores. Accepted but not used, because the gateway runs on one thread.
     pub cores: Option<f64>,
-    /// Memory in MiB.
+    /// Memory, in MiB.
     pub memory_mb: Count,
-    /// Descriptors.
+    /// The limit on open file descriptors.
     pub sockets: Count,
 }
 
@@ -117,53 +118,58 @@
     }
 }
 
-/// The bounds on connections to backends. What is absent fits what is there.
+/// The limits on connections to backends. The default of an absent key is derived from the keys that are set.
 #[derive(Debug, Clone, Default, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct PoolSection {
-    /// Connections to all backends, those in use and coming up included; by default a fourth of limits.sockets.
+    /// Maximum connections to all backends together, including those in use and those being opened. Default: a quarter
+    /// of limits.sockets.
     pub links: Option<Count>,
-    /// What the bound at one backend never falls below; by default 2.
+    /// Minimum of the adaptive limit on connections to one backend. Default: 2.
     pub backend_least: Option<Count>,
-    /// What it never rises above, and where it starts; by default 1200 / gateways, 4 to half of links.
+    /// Maximum of that adaptive limit, and its initial value. Default: 1200 / gateways, at least 4 and at most half of
+    /// links.
     pub backend_most: Option<Count>,
-    /// Backends to which idle connections are kept; by default 64, or links.
+    /// Number of backends to which idle connections are kept. Default: 64, or links if that is lower.
     pub idle_backends: Option<Count>,
-    /// Idle connections are retired from this age; by default half of settings.bounds.conn_idle.
+    /// An idle connection is closed after a random time from this one on. Default: half of settings.bounds.conn_idle.
     pub idle_least_ms: Option<Millis>,
-    /// And up to this one; by default three quarters of it.
+    /// An idle connection is closed after this time at the latest. Default: three quarters of
+    /// settings.bounds.conn_idle.
     pub idle_most_ms: Option<Millis>,
-    /// Requests that wait for a connection, all together; by default links.
+    /// Maximum requests that wait for a connection, over all backends. Default: links.
     pub waiting: Option<Count>,
-    /// The same for one backend; by default four times backend_most.
+    /// Maximum requests that wait for a connection to one backend. Default: four times backend_most, or
+    /// waiting if that is lower.
     pub backend_waiting: Option<Count>,
-    /// How long one waits; by default settings.bounds.dial_timeout.
+    /// How long a request waits for a connection. Default: settings.bounds.dial_timeout.
     pub wait_ms: Option<Millis>,
-    /// The pause after a first failed dial, before jitter; by default 100.
+    /// Backoff after the first failed dial, before jitter. Default: 100.
     pub backoff_least_ms: Option<Millis>,
-    /// What it doubles up to; by default 1000.
+    /// Maximum up to which the backoff doubles. Default: 1000.
     pub backoff_most_ms: Option<Millis>,
-    /// Open connections ahead of need; by default false.
+    /// Whether connections are opened before requests need them. Default: false.
     pub warm_up: Option<bool>,
-    /// How many a second; by default 2.
+    /// Connections opened in advance per second. Default: 2.
     pub warm_per_s: Option<Count>,
-    /// And at once; by default 2.
+    /// Connections opened in advance at once. Default: 2.
     pub warm_burst: Option<Count>,
 }
 
-/// Long answers and uploads, passed on as they arrive.
+/// Streaming of long responses and uploads, which are forwarded as they arrive.
 #[derive(Debug, Clone, PartialEq, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct StreamingSection {
-    /// KiB that are held back of an answer before commitment, and kept of an upload to be sent again.
+    /// KiB of a response that are buffered before its first byte is sent to the client, and KiB of an upload that are
+    /// kept for a retry.
     pub hold_kb: BoundedInt<16_384>,
-    /// How long a new stream waits for memory.
+    /// How long a new stream waits for memory, in milliseconds.
     pub wait_ms: Millis,
-    /// The least rate of whichever side is waited for, over each window.
+    /// Minimum transfer rate of the side that is being waited for, in KiB per second, measured over each window.
     pub least_kb_per_s: BoundedInt<16_384>,
-    /// The window.
+    /// Length of that window, in milliseconds.
     pub window_ms: Millis,
-    /// The longest transfer, in seconds.
+    /// Maximum duration of a transfer, in seconds.
     pub longest_s: BoundedInt<604_800>,
 }
 
@@ -179,15 +185,15 @@
     }
 }
 
-/// The operators' door, on an address that only they reach.
+/// The admin interface. Its address must be reachable by operators only.
 #[derive(Debug, Clone, PartialEq, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct AdminSection {
-    /// Where it listens.
+    /// The address and port to listen on for operators.
     pub listen: SocketAddr,
-    /// Connections at once; further ones are closed.
+    /// Maximum concurrent connections; further ones are closed.
     pub connections: BoundedInt<64>,
-    /// How long one may take, its client's reading included.
+    /// How long a connection may take, including the time in which the client reads the response, in milliseconds.
     pub timeout_ms: Millis,
 }
 
@@ -198,31 +204,31 @@
     }
 }
 
-/// The gateways of the fleet among each other, over UDP (docs/fleet.md).
+/// Membership of a fleet of gateways, which exchange datagrams over UDP (docs/fleet.md).
 #[derive(Debug, Clone, PartialEq, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct FleetSection {
-    /// Where this gateway hears the others.
+    /// The address and port on which this gateway receives datagrams of the others.
     pub listen: SocketAddr,
-    /// Where they reach it; by default where it listens.
+    /// The address that it advertises to the others. Default: the address in listen.
     pub advertise: Option<SocketAddr>,
-    /// The fleet's name. What comes from another is dropped.
+    /// The name of the fleet. Datagrams of other fleets are dropped.
     pub cluster: String,
-    /// The gateways that are asked at the start, by their addresses.
+    /// The addresses of the gateways that are contacted at startup.
     pub join: Vec<SocketAddr>,
-    /// Addresses that others tell of themselves, and by which they are reached from here.
+    /// Maps an address that another gateway advertises to the address by which it is reached from here.
     pub via: BTreeMap<SocketAddr, SocketAddr>,
-    /// Each gateway probes one other so often.
+    /// The probe period, in milliseconds: each gateway probes one other per period.
     pub probe_ms: Millis,
-    /// How long gateways that are gone are remembered, in seconds.
+    /// How long gateways that left or failed are remembered, in seconds.
     pub forget_s: BoundedInt<604_800>,
-    /// The most gateways that are kept in mind, those that are gone included.
+    /// Maximum number of gateways that are tracked, including those that are gone.
     pub most: BoundedInt<10_000>,
-    /// How long one must be gone before the shares of the others grow.
+    /// How long a gateway must be gone before the shares of the others grow, in milliseconds.
     pub hold_ms: Millis,
-    /// What is added to the system's clock, in milliseconds; for tests of clocks that lie apart.
+    /// Offset added to the system clock, in milliseconds; for tests of clock skew.
     pub clock_ahead_ms: i64,
-    /// The plan that all gateways act on. Absent: there is none.
+    /// The fleet plan, which all gateways act on. If absent, there is none.
     pub plan: Option<PlanSection>,
 }
 
@@ -244,27 +250,28 @@
     }
 }
 
-/// The fleet plan, agreed on by a few voters and followed by all (docs/plan.md).
+/// The fleet plan, agreed on by a few voters and followed by all gateways (docs/plan.md).
 #[derive(Debug, Clone, PartialEq, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct PlanSection {
-    /// Where other gateways reach the plan here.
+    /// The address and port on which this gateway serves the plan to other gateways.
     pub listen: SocketAddr,
-    /// Where they are told that it is; by default where it listens.
+    /// The address for this that it advertises to the others. Default: the address in listen.
     pub advertise: Option<SocketAddr>,
-    /// The first voters by name, each with zone and address; 1, 3 or 5, the same at all gateways.
+    /// The initial voters by name, each with zone and address: 1, 3 or 5, the same at all gateways.
     pub voters: BTreeMap<String, VoterSection>,
-    /// Where a voter keeps its log; must be there at voters. Without it a gateway only follows.
+    /// The directory in which a voter stores its log; required at voters. A gateway without one follows the plan and
+    /// does not vote.
     pub directory: Option<PathBuf>,
-    /// Addresses that others tell as their plan's, and by which they are reached from here.
+    /// Maps an address that another gateway advertises for the plan to the address by which it is reached from here.
     pub via: BTreeMap<SocketAddr, SocketAddr>,
-    /// A tick of the voters: an election takes 10 to 20 of them.
+    /// The length of a tick of the voters, in milliseconds. An election timeout is 10 to 20 ticks.
     pub tick_ms: Millis,
-    /// How long a duty is held without a renewal; 20 ticks at least.
+    /// How long the lease of a duty lasts without a renewal, in milliseconds; at least 20 ticks.
     pub lease_ms: Millis,
-    /// How long the last plan is acted on without news, in seconds.
+    /// How long the last known plan is trusted in full without a heartbeat of the leader, in seconds.
     pub trust_s: BoundedInt<604_800>,
-    /// How long giving it up takes, in seconds.
+    /// How long that trust then takes to decline to nothing, in seconds.
     pub ramp_s: BoundedInt<604_800>,
 }
 
@@ -284,22 +291,22 @@
     }
 }
 
-/// One of the first voters.
+/// An initial voter of the fleet plan.
 #[derive(Debug, Clone, PartialEq, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct VoterSection {
-    /// Its zone.
+    /// The zone of the voter.
     pub zone: String,
-    /// Where the others reach its plan.
+    /// The address at which other gateways reach its plan.
     pub address: SocketAddr,
 }
 
-/// The JSON schema of the file.
+/// Returns the JSON schema of the configuration file.
 pub fn schema() -> Value {
     schemars::schema_for!(Document).to_value()
 }
 
-/// The reference of all keys but those of `settings` and `known`, as tables.
+/// Returns the reference of all keys as Markdown tables, without the keys of `settings` and `known`.
 pub fn reference() -> String {
     let schema = schema();
     let mut text = table(&schema, "");
@@ -312,37 +319,38 @@
         ("PlanSection", "fleet.plan"),
     ] {
         let section = &schema["$defs"][name];
-        let about = section["description"].as_str().unwrap_or_default();
-        text.push_str(&format!("\n## `{key}`\n\n{about}\n\n{}", table(section, key)));
+        let description = section["description"].as_str().unwrap_or_default();
+        text.push_str(&format!("\n## `{key}`\n\n{description}\n\n{}", table(section, key)));
     }
     text
 }
 
 fn table(section: &Value, key: &str) -> String {
-    let mut text = "| key | holds | default | what |\n| --- | --- | --- | --- |\n".to_string();
+    let mut text = "| key | type | default | description |\n| --- | --- | --- | --- |\n".to_string();
     for (name, property) in section["properties"].as_object().into_iter().flatten() {
-        let whole =
-            |p: &Value| Some(format!("a whole number, {} to {}", p["minimum"], p["maximum"].as_u64()?));
-        let kind = |p: &Value| match &p["type"] {
-            Value::String(kind) => kind.clone(),
-            Value::Array(kinds) => kinds.first().and_then(Value::as_str).unwrap_or_default().to_string(),
+        let integer_range = |schema: &Value| {
+            Some(format!("integer, {} to {}", schema["minimum"], schema["maximum"].as_u64()?))
+        };
+        let json_type = |schema: &Value| match &schema["type"] {
+            Value::String(name) => name.clone(),
+            Value::Array(names) => names.first().and_then(Value::as_str).unwrap_or_default().to_string(),
             _ => "object".to_string(),
         };
-        let holds = whole(property).unwrap_or_else(|| match kind(property).as_str() {
-            "string" => "text".to_string(),
-            "boolean" => "true or false".to_string(),
-            "number" => "a number".to_string(),
-            "integer" => "a whole number".to_string(),
-            "array" => "a list".to_string(),
-            _ => "a section".to_string(),
+        let value_type = integer_range(property).unwrap_or_else(|| match json_type(property).as_str() {
+            "string" => "string".to_string(),
+            "boolean" => "boolean".to_string(),
+            "number" => "number".to_string(),
+            "integer" => "integer".to_string(),
+            "array" => "list".to_string(),
+            _ => "section".to_string(),
         });
         let default = match &property["default"] {
             Value::Null | Value::Object(_) => "-".to_string(),
             default => default.to_string(),
         };
-        let what = property["description"].as_str().unwrap_or_default().replace('\n', " ");
+        let description = property["description"].as_str().unwrap_or_default().replace('\n', " ");
         let dot = if key.is_empty() { "" } else { "." };
-        text.push_str(&format!("| `{key}{dot}{name}` | {holds} | {default} | {what} |\n"));
+        text.push_str(&format!("| `{key}{dot}{name}` | {value_type} | {default} | {description} |\n"));
     }
     text
 }
