--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -1,7 +1,8 @@
-//! The configuration of a gateway: the file, the environment, and what follows from both.
+//! The configuration of a gateway, built from its file and the environment.
 //!
-//! [`source`] reads files, [`document`] has every key, [`platform`] separates what the platform's file holds for others,
-//! [`build`] puts the parts together and collects every problem, [`effective`] shows the result.
+//! [`source`] reads files, [`document`] defines every key, [`platform`] filters out the keys of the platform's file that
+//! are not meant for this gateway, [`build`] validates all sections and collects every problem, [`effective`] renders
+//! the result.
 
 mod build;
 pub mod document;
@@ -33,22 +34,22 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The sections that take effect with the next start only.
+/// The sections whose changes take effect only after a restart.
 const RESTART_ONLY: [&str; 7] = ["name", "listen", "limits", "names", "admin", "fleet", "settings"];
 
-/// What a reload may change: the services that a gateway calls, and the limits on its connections to backends and on
-/// streams.
+/// The part of the configuration that a reload can change: the services that a gateway calls, and the limits on its
+/// connections to backends and on streams.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Upstreams {
-    /// Discovery.
+    /// The address of discovery.
     pub discovery: SocketAddr,
-    /// The shared counter.
+    /// The address of the shared counter, if quotas use one.
     pub counter: Option<SocketAddr>,
     /// The limits on connections to backends.
     pub pool: PoolSettings,
-    /// The limits on streams; without them nothing is streamed.
+    /// The limits on streams. If absent, nothing is streamed.
     pub streaming: Option<StreamSettings>,
-    /// A digest of the effective configuration.
+    /// The digest of the effective configuration, which is announced to the fleet.
     pub config_digest: u64,
 }
 
@@ -68,31 +69,31 @@
     pub(crate) listen: SocketAddr,
     pub(crate) discovery: SocketAddr,
     pub(crate) counter: Option<SocketAddr>,
-    /// The seed of all random numbers.
+    /// Seeds all random number generators.
     pub(crate) seed: u64,
-    /// The endpoint list as it was last known.
+    /// The endpoint list under the key `known`, used until discovery has answered.
     pub(crate) saved_endpoints: EndpointList,
     pub(crate) site: Site,
     pub(crate) sockets: SocketLimits,
     pub(crate) pool: PoolSettings,
     pub(crate) streaming: Option<StreamSettings>,
-    /// Memory of the machine, in bytes.
+    /// The usable memory of the machine, in bytes.
     pub(crate) memory: usize,
-    /// A connection to a backend must be made within this.
+    /// The timeout for opening a connection to a backend.
     pub(crate) dial_timeout: Duration,
     pub(crate) admin: Option<AdminSection>,
     pub(crate) fleet: Option<FleetSettings>,
-    /// What the deployment calls headers, paths and fields.
+    /// The deployment's names for headers, paths and fields.
     pub(crate) names: Names,
-    /// The indexes of the classes of which it is not known what their requests do.
+    /// The indexes of the classes whose effect this gateway does not know.
     pub(crate) unknown_effects: HashSet<usize>,
     ignored: IgnoredKeys,
-    /// The document as it was written.
+    /// The document as written in the file, without `known`.
     document: Value,
 }
 
 impl Config {
-    /// What a reload may change.
+    /// Returns the part that a reload can change.
     pub fn upstreams(&self) -> Upstreams {
         Upstreams {
             discovery: self.discovery,
@@ -103,28 +104,28 @@
         }
     }
 
-    /// What the configuration held and was not used.
+    /// Returns the keys and values of the file that were not used.
     pub fn ignored(&self) -> &IgnoredKeys {
         &self.ignored
     }
 
-    /// The address for operators.
+    /// Returns the address of the admin interface, if it is enabled.
     pub fn admin_address(&self) -> Option<SocketAddr> {
         self.admin.as_ref().map(|admin| admin.listen)
     }
 
-    /// The sections that take effect with the next start only, as they were written.
+    /// Returns the sections whose changes take effect only after a restart, as written in the file.
     pub fn restart_only(&self) -> Vec<(&'static str, Value)> {
         RESTART_ONLY.into_iter().map(|key| (key, self.section(key))).collect()
     }
 
-    /// Which of these sections are written otherwise here.
+    /// Returns the keys of those `sections` that differ from the sections of this configuration.
     pub fn changed_sections(&self, sections: &[(&'static str, Value)]) -> Vec<&'static str> {
         let changed = sections.iter().filter(|(key, written)| self.section(key) != *written);
         changed.map(|(key, _)| *key).collect()
     }
 
-    /// A section as it was written.
+    /// Returns a section as written in the file.
     fn section(&self, key: &str) -> Value {
         self.document.get(key).cloned().unwrap_or_default()
     }
--- a/crates/gateway/src/config/build.rs
+++ b/crates/gateway/src/config/build.rs
@@ -1,4 +1,5 @@
-//! Building a configuration from its document: every part is read, and every problem is reported at once.
+//! Builds a configuration from its document. Every section is read even after a problem, so that all problems are
+//! reported at once.
 
 use super::document::{self, Document, Limits, StreamingSection};
 use super::platform::{IgnoredKeys, PlatformDocument};
@@ -12,41 +13,41 @@
 use serde_json::Value;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
-/// The most memory that is reckoned with, in bytes.
-const MAX_MEMORY: usize = 1 << 32;
-const MEBIBYTE: usize = 1 << 20;
-/// Stands for an address that is missing, which is a problem.
-const NO_ADDRESS: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0);
+/// Memory above this is ignored.
+const MAX_MEMORY_BYTES: usize = 1 << 32;
+const BYTES_PER_MEBIBYTE: usize = 1 << 20;
+/// Placeholder for a missing address. Its absence is reported as a problem, so it never becomes part of a configuration.
+const MISSING_ADDRESS: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0);
 
 impl Config {
-    /// Reads a configuration in JSON.
+    /// Reads an operator's configuration from a JSON text.
     pub fn parse(text: &str) -> Result<Config, ConfigError> {
         let document = serde_json::from_str(text).map_err(|error| ConfigError::new(error.to_string()))?;
         Config::from_document(document, &Source::default())
     }
 
-    /// Reads an operator's configuration.
+    /// Builds a configuration from an operator's document.
     ///
     /// # Errors
     ///
-    /// All that is wrong with it.
+    /// Returns every problem of the document.
     pub fn from_document(document: Value, source: &Source) -> Result<Config, ConfigError> {
         build(document, source, IgnoredKeys::default())
     }
 
-    /// Reads what the platform's configuration holds for this gateway.
+    /// Builds a configuration from the part of the platform's file that is meant for this gateway.
     pub(super) fn from_platform(platform: PlatformDocument, source: &Source) -> Result<Config, ConfigError> {
         build(platform.document, source, platform.ignored)
     }
 }
 
-fn build(mut written: Value, source: &Source, mut ignored: IgnoredKeys) -> Result<Config, ConfigError> {
-    let (names, names_problems) = match source.names(&written) {
+fn build(mut raw: Value, source: &Source, mut ignored: IgnoredKeys) -> Result<Config, ConfigError> {
+    let (names, names_problems) = match source.names(&raw) {
         Ok(names) => (names, Problems::default()),
         Err(error) => (Names::default(), Problems::from(error)),
     };
-    let known = written.as_object_mut().and_then(|fields| fields.remove("known"));
-    let (document, mut problems) = problems::read::<Document>(written.clone(), &document::SECTIONS);
+    let known = raw.as_object_mut().and_then(|fields| fields.remove("known"));
+    let (document, mut problems) = problems::read::<Document>(raw.clone(), &document::SECTIONS);
     problems.append(names_problems);
     let Some(document) = document else { return Err(problems.into()) };
     let (saved_endpoints, known_problem) = read_known(known, &names);
@@ -61,7 +62,7 @@
     if site.settings.quota_counter {
         required(&mut problems, "counter", document.counter);
     }
-    let sockets = SocketLimits::share_out(document.limits.sockets.get());
+    let sockets = SocketLimits::allocate(document.limits.sockets.get());
     let environment = PoolEnvironment {
         default_connections: sockets.backends,
         max_connections: sockets.max_backends,
@@ -74,7 +75,7 @@
     let memory = usable_memory(&document.limits);
     let streaming = problems.collect(read_streaming(document.streaming, memory));
     let name = source.name.clone().or(document.name).unwrap_or_default();
-    let settings = &written["settings"];
+    let settings = &raw["settings"];
     let fleet =
         document.fleet.map(|section| FleetSettings::read(section, &name, settings, &site, &mut problems));
     let (Some(pool), Some(streaming), true) = (pool, streaming, problems.is_empty()) else {
@@ -98,13 +99,13 @@
         names,
         unknown_effects: site_settings.unknown_effects,
         ignored,
-        document: written,
+        document: raw,
     })
 }
 
-/// The memory of the machine that is reckoned with, in bytes.
+/// Returns the memory of the machine that the gateway may plan with, in bytes.
 fn usable_memory(limits: &Limits) -> usize {
-    limits.memory_mb.get().saturating_mul(MEBIBYTE).min(MAX_MEMORY)
+    limits.memory_mb.get().saturating_mul(BYTES_PER_MEBIBYTE).min(MAX_MEMORY_BYTES)
 }
 
 fn read_streaming(
@@ -114,11 +115,11 @@
     section.map(|section| StreamSettings::from_section(&section, memory)).transpose()
 }
 
-/// The seed that is written, or one drawn anew.
-fn read_seed(written: Option<String>, problems: &mut Problems) -> u64 {
-    let Some(written) = written else { return fastrand::u64(..) };
-    u64::from_str_radix(&written, 16).unwrap_or_else(|_| {
-        problems.add("seed", format!("expected 16 hex digits, found '{written}'"));
+/// Parses the configured seed, or chooses one at random if there is none.
+fn read_seed(configured: Option<String>, problems: &mut Problems) -> u64 {
+    let Some(configured) = configured else { return fastrand::u64(..) };
+    u64::from_str_radix(&configured, 16).unwrap_or_else(|_| {
+        problems.add("seed", format!("expected 16 hex digits, found '{configured}'"));
         0
     })
 }
@@ -127,23 +128,23 @@
     if settings.is_object() {
         return SiteSettings::read(settings, origin, problems);
     }
-    // A list in place of the section was reported before.
-    if !problems.mention("settings") {
+    // A list in place of the section has already been reported.
+    if !problems.has_problem_at("settings") {
         let found = if settings.is_null() { "nothing".to_string() } else { settings.to_string() };
         problems.add("settings", format!("expected an object, found {found}"));
     }
     None
 }
 
-/// An address that must be there. One that can't be read was reported before.
+/// Returns a required address and reports it if it is missing. An unreadable address has already been reported.
 fn required(problems: &mut Problems, key: &str, address: Option<SocketAddr>) -> SocketAddr {
-    if address.is_none() && !problems.mention(key) {
+    if address.is_none() && !problems.has_problem_at(key) {
         problems.add(key, "expected an address and a port, found nothing");
     }
-    address.unwrap_or(NO_ADDRESS)
+    address.unwrap_or(MISSING_ADDRESS)
 }
 
-/// What can't be read is a problem in an operator's file, and ignored in the platform's.
+/// Records an unreadable value: as a problem of an operator's file, as an ignored value of the platform's file.
 fn report_by_origin(
     problem: Option<String>,
     origin: Origin,
@@ -156,7 +157,8 @@
     }
 }
 
-/// The endpoint list that the file has from before, empty if there is none, with what is wrong with it.
+/// Reads the saved endpoint list of the file, with a problem if it can't be read completely. Without one, or if it can't
+/// be read, the list is empty.
 fn read_known(known: Option<Value>, names: &Names) -> (EndpointList, Option<String>) {
     let Some(known) = known else { return (EndpointList::default(), None) };
     let known = names.to_protocol(known);
--- a/crates/gateway/src/config/effective.rs
+++ b/crates/gateway/src/config/effective.rs
@@ -1,4 +1,4 @@
-//! The effective configuration, with the limits that follow from what was written.
+//! The effective configuration as JSON, including derived limits and defaults.
 
 use super::plan::ReplicationSettings;
 use super::{Config, FleetSettings};
@@ -9,7 +9,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 impl Config {
-    /// The effective configuration.
+    /// Returns the effective configuration as JSON.
     pub fn effective(&self) -> Value {
         json!({
             "name": self.name, "listen": self.listen, "discovery": self.discovery, "counter": self.counter,
@@ -25,7 +25,7 @@
         })
     }
 
-    /// A digest of the effective configuration.
+    /// Returns the digest of the effective configuration.
     pub(super) fn digest(&self) -> u64 {
         xxh3_64(self.effective().to_string().as_bytes())
     }
@@ -73,6 +73,6 @@
     })
 }
 
-fn millis(span: Duration) -> u64 {
-    span.as_millis() as u64
+fn millis(duration: Duration) -> u64 {
+    duration.as_millis() as u64
 }
--- a/crates/gateway/src/config/endpoint_list.rs
+++ b/crates/gateway/src/config/endpoint_list.rs
@@ -1,74 +1,74 @@
-//! The endpoint list as discovery sends it, read entry by entry: one that can't be read never keeps the others from
-//! taking effect.
+//! The endpoint list as received from discovery. Entries are read one by one, so that an unreadable one does not keep
+//! the others from taking effect.
 
 use serde_json::{Map, Value};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
-/// Stands for the address of a backend that takes nothing new, where none can be read.
-const NO_ADDRESS: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0);
-/// The weight of an entry that has none.
+/// Placeholder for the address of an entry that gets no new requests and has no readable address.
+const MISSING_ADDRESS: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0);
+/// The weight of an entry without a readable weight.
 const DEFAULT_WEIGHT: f64 = 1.0;
 
-/// The endpoint list, complete or as changes.
+/// A complete endpoint list, or changes to one.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct EndpointList {
-    /// The list's version.
+    /// The revision of the list.
     pub revision: u64,
-    /// It holds every backend, not just those that changed.
+    /// Whether the list holds every backend, and not only those that changed.
     pub complete: bool,
-    /// The entries. Those that can't be read but have a name are here as [`EndpointPhase::Draining`].
+    /// The entries. An unreadable entry with a readable id is included as [`EndpointPhase::Draining`].
     pub endpoints: Vec<EndpointEntry>,
-    /// How many entries can't be read.
+    /// The number of unreadable entries.
     pub unreadable: usize,
 }
 
 /// One entry of the endpoint list.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EndpointEntry {
-    /// Its name, the same at every gateway.
+    /// The id of the backend, the same at every gateway.
     pub id: String,
-    /// Where it listens, as seen from this gateway.
+    /// The address at which this gateway reaches the backend.
     pub address: SocketAddr,
-    /// Its zone.
+    /// The zone of the backend.
     pub zone: String,
-    /// Its cell.
+    /// The cell of the backend.
     pub cell: u64,
-    /// Whether it takes work.
+    /// Whether the backend accepts new requests.
     pub phase: EndpointPhase,
-    /// Its capacity against the others'.
+    /// The capacity of the backend relative to the others.
     pub weight: f64,
-    /// When it last started, Unix time in milliseconds; 0: long ago.
+    /// When the backend last started, as Unix time in milliseconds. 0 means long ago.
     pub started_at_ms: u64,
 }
 
-/// Whether a backend takes work.
+/// Whether a backend accepts new requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EndpointPhase {
-    /// It takes work.
+    /// The backend accepts new requests.
     Ready,
-    /// It finishes what it has.
+    /// The backend finishes its open requests and accepts no new ones.
     Draining,
-    /// It was taken out of service.
+    /// The backend was taken out of service.
     Gone,
 }
 
-/// What a value lacks to be an endpoint list.
+/// Why a value is not an endpoint list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum EndpointListError {
-    /// It is no object.
+    /// The value is not an object.
     #[error("expected an object")]
-    NoObject,
-    /// It has no list of entries.
+    NotAnObject,
+    /// The field `members` is missing or not a list.
     #[error("expected a list of members")]
-    NoEntries,
-    /// It has no revision.
-    #[error("expected a revision")]
-    NoRevision,
-    /// Whether it is complete can't be read.
+    InvalidMembers,
+    /// The field `revision` is missing or not an integer.
+    #[error("expected revision to be a whole number")]
+    InvalidRevision,
+    /// The field `complete` is not a boolean.
     #[error("expected complete to be true or false")]
-    UnclearScope,
-    /// It is complete and none of its entries can be read: taking it over would leave this gateway without backends.
-    #[error("expected members, and none can be read")]
+    InvalidComplete,
+    /// The list is complete and none of its entries can be read. Applying it would leave this gateway without backends.
+    #[error("expected readable members, found none")]
     NoReadableEntry,
 }
 
@@ -84,19 +84,19 @@
 }
 
 impl EndpointList {
-    /// Reads a list that has the protocol's names.
+    /// Reads a list whose fields have the names of the protocol.
     pub fn read(value: &Value) -> Result<EndpointList, EndpointListError> {
-        let fields = value.as_object().ok_or(EndpointListError::NoObject)?;
+        let fields = value.as_object().ok_or(EndpointListError::NotAnObject)?;
         let revision = fields.get("revision").and_then(Value::as_u64);
         let complete = match fields.get("complete") {
             None | Some(Value::Null) => Some(false),
             Some(flag) => flag.as_bool(),
         };
         let entries = fields.get("members").and_then(Value::as_array);
-        let entries = entries.ok_or(EndpointListError::NoEntries)?;
+        let entries = entries.ok_or(EndpointListError::InvalidMembers)?;
         let mut list = EndpointList {
-            revision: revision.ok_or(EndpointListError::NoRevision)?,
-            complete: complete.ok_or(EndpointListError::UnclearScope)?,
+            revision: revision.ok_or(EndpointListError::InvalidRevision)?,
+            complete: complete.ok_or(EndpointListError::InvalidComplete)?,
             endpoints: Vec::with_capacity(entries.len()),
             unreadable: 0,
         };
@@ -116,38 +116,39 @@
         };
         let endpoint = EndpointEntry::read(fields).or_else(|| {
             self.unreadable += 1;
-            EndpointEntry::withdrawn(fields)
+            EndpointEntry::read_as_draining(fields)
         });
         self.endpoints.extend(endpoint);
     }
 }
 
 impl EndpointEntry {
-    /// Reads an entry. `None` where something can't be read on which correctness depends: its phase, address, cell, or
-    /// when it started. Zone and weight only decide preferences, so defaults stand in.
+    /// Reads an entry. Returns `None` if a field is unreadable on which correctness depends: the phase, address, cell or
+    /// start time. Zone and weight affect only preferences, so an unreadable one is replaced by its default.
     fn read(fields: &Map<String, Value>) -> Option<EndpointEntry> {
         let phase = EndpointPhase::read(fields.get("phase")?)?;
         let address = fields.get("host_port").and_then(Value::as_str).and_then(|text| text.parse().ok());
         let address = match phase {
             EndpointPhase::Ready => address?,
-            EndpointPhase::Draining | EndpointPhase::Gone => address.unwrap_or(NO_ADDRESS),
+            EndpointPhase::Draining | EndpointPhase::Gone => address.unwrap_or(MISSING_ADDRESS),
         };
         Some(EndpointEntry {
-            id: identity(fields)?,
+            id: read_id(fields)?,
             address,
             zone: fields.get("locality").and_then(Value::as_str).unwrap_or_default().to_string(),
-            cell: whole_number(fields.get("cell"))?,
+            cell: integer_or_zero(fields.get("cell"))?,
             phase,
             weight: fields.get("size").and_then(Value::as_f64).unwrap_or(DEFAULT_WEIGHT),
-            started_at_ms: whole_number(fields.get("up_since_ms"))?,
+            started_at_ms: integer_or_zero(fields.get("up_since_ms"))?,
         })
     }
 
-    /// An entry of which only the name can be read. Whether it takes work is unknown, so it is sent nothing new.
-    fn withdrawn(fields: &Map<String, Value>) -> Option<EndpointEntry> {
+    /// Reads an entry of which only the id can be read. Whether the backend accepts requests is unknown, so the entry is
+    /// draining and the backend gets no new ones.
+    fn read_as_draining(fields: &Map<String, Value>) -> Option<EndpointEntry> {
         Some(EndpointEntry {
-            id: identity(fields)?,
-            address: NO_ADDRESS,
+            id: read_id(fields)?,
+            address: MISSING_ADDRESS,
             zone: String::new(),
             cell: 0,
             phase: EndpointPhase::Draining,
@@ -157,12 +158,12 @@
     }
 }
 
-fn identity(fields: &Map<String, Value>) -> Option<String> {
+fn read_id(fields: &Map<String, Value>) -> Option<String> {
     fields.get("id").and_then(Value::as_str).filter(|id| !id.is_empty()).map(str::to_string)
 }
 
-/// A number that may be absent, which stands for 0.
-fn whole_number(value: Option<&Value>) -> Option<u64> {
+/// Reads an integer whose absence means 0.
+fn integer_or_zero(value: Option<&Value>) -> Option<u64> {
     match value {
         None | Some(Value::Null) => Some(0),
         Some(value) => value.as_u64(),
--- a/crates/gateway/src/config/fleet.rs
+++ b/crates/gateway/src/config/fleet.rs
@@ -1,4 +1,4 @@
-//! A gateway's place in its fleet, as its configuration has it.
+//! The validated `fleet` section: how this gateway takes part in the membership of its fleet.
 
 use super::document::FleetSection;
 use super::plan::ReplicationSettings;
@@ -10,46 +10,46 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The shortest period of probes. Guards against a fleet that does nothing but probe.
+/// The shortest probe period. A shorter one would have the gateways do little besides probing.
 const MIN_PROBE_PERIOD: Duration = Duration::from_millis(50);
 
-/// A gateway's place in its fleet.
+/// How this gateway takes part in the membership of its fleet.
 #[derive(Debug, Clone, PartialEq)]
 pub struct FleetSettings {
-    /// This gateway's name.
+    /// The name of this gateway.
     pub name: String,
-    /// Its zone.
+    /// The zone of this gateway.
     pub zone: String,
-    /// Its index among all gateways, from 0.
+    /// The index of this gateway among all gateways, from 0.
     pub gateway_index: u32,
-    /// How many gateways there are.
+    /// The number of gateways.
     pub gateway_count: u32,
-    /// Where it receives datagrams.
+    /// The address on which this gateway receives datagrams.
     pub listen: SocketAddr,
-    /// Where the others reach it, if not there.
+    /// The address to advertise to the others, if it differs from `listen`.
     pub advertise: Option<SocketAddr>,
-    /// The fleet's name.
+    /// The name of the fleet.
     pub cluster: String,
-    /// The members that are contacted at the start.
+    /// The addresses of the members that are contacted at startup.
     pub seed_addresses: Vec<SocketAddr>,
-    /// The addresses that others announce, and where those are reached from here.
+    /// Maps an address that another member advertises to the address by which it is reached from here.
     pub address_map: BTreeMap<SocketAddr, SocketAddr>,
-    /// The period of probes.
+    /// The interval between two probes.
     pub probe_period: Duration,
     /// How long members that are gone are remembered.
     pub retention: Duration,
-    /// The most members that are kept.
+    /// The maximum number of members that are tracked.
     pub max_members: usize,
-    /// How long a member must be gone before local shares grow.
+    /// How long a member must be gone before the shares of the others grow.
     pub departure_hold: Duration,
-    /// What is added to the system's clock, in milliseconds.
+    /// The offset added to the system clock, in milliseconds.
     pub clock_ahead_ms: i64,
-    /// How it takes part in the replicated fleet document.
+    /// How this gateway takes part in the replicated fleet document, if it does.
     pub plan: Option<ReplicationSettings>,
 }
 
 impl FleetSettings {
-    /// Reads the section and checks it; `settings` is the `settings` section as it was written.
+    /// Reads and validates the section. `settings` is the `settings` section as written in the file.
     pub(super) fn read(
         section: FleetSection,
         name: &str,
@@ -58,9 +58,10 @@
         problems: &mut Problems,
     ) -> FleetSettings {
         let plan = section.plan.map(|plan| {
-            let mut lines = Vec::new();
-            let plan = ReplicationSettings::of(plan, name, zone_names(settings), &mut lines);
-            problems.extend(lines);
+            let mut plan_problems = Vec::new();
+            let plan =
+                ReplicationSettings::from_section(plan, name, zone_names(settings), &mut plan_problems);
+            problems.extend(plan_problems);
             plan
         });
         let fleet = FleetSettings {
@@ -87,7 +88,7 @@
     fn check(&self, problems: &mut Problems) {
         if !self.node().is_valid() {
             let max = lanespan_fleet::node::MAX_LABEL_BYTES;
-            let message = format!("expected a name, and name and settings.zone of {max} bytes at most");
+            let message = format!("expected a name, and at most {max} bytes each in name and settings.zone");
             problems.add("fleet", message);
         }
         if self.probe_period < MIN_PROBE_PERIOD {
@@ -99,13 +100,13 @@
             let message = format!("expected settings.balancers, {gateways}, or more, found {found}");
             problems.add("fleet.most", message);
         }
-        // Others would be told of an address that can't be reached.
+        // The others would receive an address to which nothing can be sent.
         if self.advertise.unwrap_or(self.listen).ip().is_unspecified() {
-            problems.add("fleet.advertise", "must be there where fleet.listen names no address");
+            problems.add("fleet.advertise", "must name an address if fleet.listen is unspecified");
         }
     }
 
-    /// This gateway as a member of the fleet.
+    /// Returns this gateway as a member of the fleet, to validate its name and zone.
     fn node(&self) -> Node {
         Node {
             name: self.name.clone(),
--- a/crates/gateway/src/config/plan.rs
+++ b/crates/gateway/src/config/plan.rs
@@ -6,12 +6,12 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// One of the first voters.
+/// An initial voter.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct FirstVoter {
-    /// Its zone.
+pub struct InitialVoter {
+    /// The zone of the voter.
     pub zone: String,
-    /// Where the other gateways reach it.
+    /// The address at which other gateways reach the voter.
     pub address: SocketAddr,
 }
 
@@ -20,13 +20,13 @@
 pub struct ReplicationSettings {
     /// The address to listen on for other gateways.
     pub listen: SocketAddr,
-    /// The address to advertise, if it is another one.
+    /// The address to advertise, if it differs from `listen`.
     pub advertise: Option<SocketAddr>,
-    /// The first voters by name.
-    pub voters: BTreeMap<String, FirstVoter>,
-    /// The directory of a voter's store. Without one this gateway only follows.
+    /// The initial voters by name.
+    pub voters: BTreeMap<String, InitialVoter>,
+    /// The directory of a voter's store. A gateway without one follows and does not vote.
     pub directory: Option<PathBuf>,
-    /// Addresses that others advertise, and where those are reached from here.
+    /// Maps an address that another gateway advertises to the address by which it is reached from here.
     pub address_map: BTreeMap<SocketAddr, SocketAddr>,
     /// The length of a voter's tick.
     pub tick: Duration,
@@ -34,21 +34,22 @@
     pub lease: Duration,
     /// How long the last known document is trusted in full without a heartbeat of the leader.
     pub trust: Duration,
-    /// How long trust takes to decline after that.
+    /// How long trust then takes to decline to nothing.
     pub ramp: Duration,
     /// The zones of the site.
     pub zones: Vec<String>,
 }
 
-/// The shortest tick.
+/// The minimum length of a tick.
 const MIN_TICK: Duration = Duration::from_millis(10);
-/// The fewest ticks of a lease: a renewal takes some heartbeats.
+/// The minimum length of a lease in ticks, because a renewal takes several heartbeats.
 const MIN_LEASE_TICKS: u32 = 20;
 
-/// The voters must be spread over zones where the site has at least this many.
+/// From this number of zones on, no zone may hold a majority of the voters.
 const MIN_ZONES_TO_SPREAD: usize = 3;
 
-/// The zone that alone holds a majority of the voters, by their zones, where the site has three zones or more.
+/// Returns the zone that alone holds a majority of the voters, given the zone of each voter and the number of zones of
+/// the site. Returns `None` for a site with fewer than three zones, or with a single voter.
 pub fn zone_with_majority<'a>(voters: impl Iterator<Item = &'a str>, zones: usize) -> Option<&'a str> {
     let mut counts = BTreeMap::<&str, usize>::new();
     voters.for_each(|zone| *counts.entry(zone).or_default() += 1);
@@ -60,8 +61,8 @@
 }
 
 impl ReplicationSettings {
-    /// Reads the section of the gateway of this name, and adds what is wrong with it to `problems`.
-    pub(super) fn of(
+    /// Reads the section for the gateway named `name` and adds its problems to `problems`.
+    pub(super) fn from_section(
         section: PlanSection,
         name: &str,
         zones: Vec<String>,
@@ -72,7 +73,7 @@
             listen: section.listen,
             advertise: section.advertise,
             voters: voters
-                .map(|(name, voter)| (name, FirstVoter { zone: voter.zone, address: voter.address }))
+                .map(|(name, voter)| (name, InitialVoter { zone: voter.zone, address: voter.address }))
                 .collect(),
             directory: section.directory,
             address_map: section.via,
@@ -82,12 +83,12 @@
             ramp: Duration::from_secs(section.ramp_s.get() as u64),
             zones,
         };
-        let found = settings.voter_problems().into_iter().chain(settings.own_problems(name));
+        let found = settings.voter_problems().into_iter().chain(settings.local_problems(name));
         problems.extend(found.map(|problem| format!("fleet.plan.{problem}")));
         settings
     }
 
-    /// What is wrong with the first voters.
+    /// Returns the problems of the initial voters.
     fn voter_problems(&self) -> Vec<String> {
         let mut problems = Vec::new();
         if !matches!(self.voters.len(), 1 | 3 | 5) {
@@ -97,23 +98,23 @@
         if let Some(zone) = zone_with_majority(voter_zones, self.zones.len()) {
             problems.push(format!("voters: zone '{zone}' alone holds a majority; spread them over zones"));
         }
-        for (name, FirstVoter { zone, .. }) in &self.voters {
+        for (name, InitialVoter { zone, .. }) in &self.voters {
             if !self.zones.contains(zone) {
                 problems.push(format!("voters.{name}.zone: expected one of settings.zones, found '{zone}'"));
             }
         }
         let addresses: BTreeSet<SocketAddr> = self.voters.values().map(|voter| voter.address).collect();
         if addresses.len() < self.voters.len() {
-            problems.push("voters: two have one address".to_string());
+            problems.push("voters: two voters have the same address".to_string());
         }
         problems
     }
 
-    /// What is wrong with the settings of this gateway.
-    fn own_problems(&self, name: &str) -> Vec<String> {
+    /// Returns the problems of the settings for the gateway named `name`.
+    fn local_problems(&self, name: &str) -> Vec<String> {
         let mut problems = Vec::new();
         if self.voters.contains_key(name) && self.directory.is_none() {
-            problems.push("directory: must be there, as this gateway is a voter".to_string());
+            problems.push("directory: required, because this gateway is a voter".to_string());
         }
         if self.tick < MIN_TICK {
             let (min, found) = (MIN_TICK.as_millis(), self.tick.as_millis());
@@ -126,7 +127,7 @@
                 .push(format!("lease_ms: expected {MIN_LEASE_TICKS} ticks, {min}, or more, found {found}"));
         }
         if self.advertise.unwrap_or(self.listen).ip().is_unspecified() {
-            problems.push("advertise: must be there where fleet.plan.listen names no address".to_string());
+            problems.push("advertise: must name an address if fleet.plan.listen is unspecified".to_string());
         }
         problems
     }
--- a/crates/gateway/src/config/platform.rs
+++ b/crates/gateway/src/config/platform.rs
@@ -1,6 +1,6 @@
-//! The platform's configuration file. It belongs to the platform, which may add keys of any name and type at any time:
-//! this gateway reads those that the platform's pages define and ignores all others. Its own sections stand in a file of
-//! their own, so that no key of the platform's can be taken for one of them.
+//! The platform's configuration file. The platform may add keys of any name and type at any time, so this gateway reads
+//! only those that the platform's documentation defines and ignores all others. The gateway's own sections are in a
+//! separate file, so that no key of the platform can be mistaken for one of them.
 
 use super::document::Count;
 use super::problems::{excerpt, Problems};
@@ -9,18 +9,19 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// The keys that the platform's pages define.
-const DEFINED: [&str; 8] = ["name", "listen", "discovery", "seed", "limits", "counter", "known", "settings"];
-/// The same within `limits`.
-const LIMITS: [&str; 3] = ["cores", "memory_mb", "sockets"];
-/// The sections of this gateway, which an operator's file holds.
+/// The top-level keys that the platform's documentation defines.
+const DEFINED_KEYS: [&str; 8] =
+    ["name", "listen", "discovery", "seed", "limits", "counter", "known", "settings"];
+/// The keys that it defines within `limits`.
+const DEFINED_LIMITS: [&str; 3] = ["cores", "memory_mb", "sockets"];
+/// The gateway's own sections, which an operator's file holds.
 pub(super) const SECTIONS: [&str; 5] = ["names", "pool", "streaming", "admin", "fleet"];
-/// As many ignored keys are named in a summary,
+/// A summary names at most this many ignored keys.
 const MAX_SUMMARY_KEYS: usize = 50;
-/// each up to so many characters.
-const MAX_SUMMARY_KEY: usize = 40;
+/// Each key in a summary is cut after this many characters.
+const MAX_SUMMARY_KEY_CHARS: usize = 40;
 
-/// Which keys the environment overrides, so that what the file has for them does not count.
+/// The keys that the environment overrides, for which the file's value is not needed.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Overrides {
     pub(super) listen: bool,
@@ -30,25 +31,25 @@
 /// The part of the platform's file that this gateway reads.
 #[derive(Debug)]
 pub(super) struct PlatformDocument {
-    /// The keys that are defined and can be read, and this gateway's own sections once they are added.
+    /// The defined keys with readable values, and the gateway's own sections once they are added.
     pub(super) document: Value,
-    /// What was not read.
+    /// The keys and values that were left out.
     pub(super) ignored: IgnoredKeys,
 }
 
-/// What a configuration held that this gateway did not use.
+/// The keys and values of a configuration that this gateway does not use.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct IgnoredKeys {
-    /// The keys of the platform's file that its pages don't define, by their dotted names.
+    /// The keys of the platform's file that its documentation does not define, as dotted names.
     pub keys: BTreeSet<String>,
-    /// Values that can't be read, a line each, with what holds instead.
+    /// The unreadable values, one line each, with the value that is used instead.
     pub unreadable: Vec<String>,
 }
 
 impl IgnoredKeys {
-    /// The keys in one line, the first ones by name and the others as a count. Empty if there are none.
+    /// Returns the ignored keys in one line: the first ones by name and the rest as a count. Empty if there are none.
     pub fn summary(&self) -> String {
-        let shorten = |key: &String| key.chars().take(MAX_SUMMARY_KEY).collect::<String>();
+        let shorten = |key: &String| key.chars().take(MAX_SUMMARY_KEY_CHARS).collect::<String>();
         let escape = |key: &String| shorten(key).escape_debug().to_string();
         let named: Vec<String> = self.keys.iter().take(MAX_SUMMARY_KEYS).map(escape).collect();
         let mut line = named.join(", ");
@@ -60,8 +61,8 @@
 }
 
 impl PlatformDocument {
-    /// Separates what is defined and can be read from the rest of the platform's file. A defined key that can't be read
-    /// stays, to be reported as a problem, only where a gateway can't start without it.
+    /// Keeps the defined keys with readable values and records the rest of the platform's file as ignored. An unreadable
+    /// value of a key that a gateway can't start without is kept, so that it is reported as a problem.
     pub(super) fn read(file: Value, overrides: Overrides) -> Result<PlatformDocument, ConfigError> {
         let Value::Object(fields) = file else {
             let found = excerpt(&file);
@@ -70,7 +71,7 @@
         let mut ignored = IgnoredKeys::default();
         let mut document = Map::new();
         for (key, value) in fields {
-            if DEFINED.contains(&key.as_str()) {
+            if DEFINED_KEYS.contains(&key.as_str()) {
                 document.insert(key, value);
             } else {
                 ignored.keys.insert(key);
@@ -102,36 +103,36 @@
     fn fields(&mut self) -> &mut Map<String, Value> {
         match &mut self.document {
             Value::Object(fields) => fields,
-            other => unreachable!("the document is made as an object, found {other}"),
+            other => unreachable!("the document is always an object, found {other}"),
         }
     }
 
-    /// Limits that can't be read leave the defaults in force.
+    /// Removes undefined and unreadable limits, for which the defaults then apply.
     fn filter_limits(&mut self) {
         let Some(limits) = self.fields().remove("limits") else { return };
         let Value::Object(mut limits) = limits else {
-            return self.note_unreadable("limits", "an object", &limits);
+            return self.record_unreadable("limits", "an object", &limits);
         };
-        let undefined = limits.keys().filter(|key| !LIMITS.contains(&key.as_str())).cloned();
+        let undefined = limits.keys().filter(|key| !DEFINED_LIMITS.contains(&key.as_str())).cloned();
         for key in undefined.collect::<Vec<String>>() {
             limits.remove(&key);
             self.ignored.keys.insert(format!("limits.{key}"));
         }
-        for key in LIMITS {
+        for key in DEFINED_LIMITS {
             let Some(value) = limits.get(key) else { continue };
             let readable = match key {
                 "cores" => value.is_number() || value.is_null(),
                 _ => Count::read(value).is_some(),
             };
             if !readable {
-                self.note_unreadable(&format!("limits.{key}"), "a number in its range", value);
+                self.record_unreadable(&format!("limits.{key}"), "a number in its range", value);
                 limits.remove(key);
             }
         }
         self.fields().insert("limits".to_string(), Value::Object(limits));
     }
 
-    /// Leaves out what can't be read, unless a gateway can't start without it.
+    /// Removes unreadable values, except those that a gateway can't start without.
     fn drop_unreadable(&mut self, overrides: Overrides) {
         const ADDRESS: &str = "an address and a port";
         self.drop_unless("name", "a text", Value::is_string);
@@ -142,15 +143,15 @@
         if overrides.discovery {
             self.drop_unless("discovery", ADDRESS, is_address);
         }
-        if !self.has_counter() {
+        if !self.wants_counter() {
             self.drop_unless("counter", ADDRESS, is_address);
         }
     }
 
-    /// Whether the settings have a counter, as far as they can be read.
-    fn has_counter(&self) -> bool {
+    /// Returns whether the settings ask for a counter. An unreadable value counts as yes.
+    fn wants_counter(&self) -> bool {
         match self.document.pointer("/settings/specifics/counter") {
-            Some(Value::Bool(has_counter)) => *has_counter,
+            Some(Value::Bool(wants_counter)) => *wants_counter,
             Some(other) => !matches!(other.as_str(), Some("0" | "false")) && other.as_u64() != Some(0),
             None => false,
         }
@@ -160,12 +161,12 @@
         let value = self.fields().get(key).filter(|value| !value.is_null() && !is_readable(value)).cloned();
         if let Some(found) = value {
             self.fields().remove(key);
-            self.note_unreadable(key, expected, &found);
+            self.record_unreadable(key, expected, &found);
         }
     }
 
-    fn note_unreadable(&mut self, key: &str, expected: &str, found: &Value) {
-        let line = format!("{key}: expected {expected}, found {}; the default holds", excerpt(found));
+    fn record_unreadable(&mut self, key: &str, expected: &str, found: &Value) {
+        let line = format!("{key}: expected {expected}, found {}; using the default", excerpt(found));
         self.ignored.unreadable.push(line);
     }
 }
--- a/crates/gateway/src/config/platform/tests.rs
+++ b/crates/gateway/src/config/platform/tests.rs
@@ -4,7 +4,7 @@
 use serde_json::json;
 use std::path::PathBuf;
 
-/// A platform's file as its pages show it.
+/// A file with every key that the platform's documentation defines.
 fn platform_file() -> Value {
     json!({"name": "n3", "listen": "10.0.0.4:8081", "discovery": "10.2.0.1:8500", "seed": "8c1f30d27a5be964",
         "limits": {"cores": 1.0, "memory_mb": 2048, "sockets": 4096}, "counter": "10.2.0.2:6400",
@@ -30,7 +30,7 @@
     read(file, &source()).unwrap_or_else(|error| panic!("{error}")).effective()
 }
 
-/// JSON of any kind, a few levels deep.
+/// Generates JSON values of any type, up to three levels deep.
 fn any_json() -> impl Strategy<Value = Value> {
     let leaf = prop_oneof![
         Just(Value::Null),
@@ -49,10 +49,11 @@
     })
 }
 
-/// Keys of any kind, with this gateway's own among them.
+/// Generates arbitrary keys, among them the keys of this gateway.
 fn any_key() -> impl Strategy<Value = String> {
-    let ours = ["admin", "fleet", "pool", "streaming", "names", "listen", "links", "plan", "lanespan"];
-    prop_oneof![3 => prop::sample::select(ours.map(str::to_string).to_vec()), 2 => "\\PC{0,8}"]
+    let gateway_keys =
+        ["admin", "fleet", "pool", "streaming", "names", "listen", "links", "plan", "lanespan"];
+    prop_oneof![3 => prop::sample::select(gateway_keys.map(str::to_string).to_vec()), 2 => "\\PC{0,8}"]
 }
 
 proptest! {
@@ -78,13 +79,13 @@
         add(&mut file["known"]["members"][0], in_member);
         add(&mut file["settings"]["classes"][0], in_class);
         let mut effective = effective_of(file);
-        // Shown as written; what is read of them is the same.
+        // The effective configuration shows the settings as written, so the added keys appear there.
         effective["settings"] = plain["settings"].clone();
         prop_assert_eq!(effective, plain);
     }
 
     #[test]
-    fn limits_known_seed_and_name_of_any_shape_do_not_prevent_a_start(
+    fn invalid_limits_known_seed_and_name_do_not_prevent_a_start(
         limits in any_json(), known in any_json(), seed in any_json(), name in any_json(), memory in any_json(),
     ) {
         let mut file = platform_file();
@@ -107,21 +108,21 @@
     file["limits"]["memory_mb"] = json!("much");
     file["seed"] = json!(17);
     file["known"]["members"] = json!("none");
-    let config = read(file, &source()).expect("it starts");
+    let config = read(file, &source()).expect("the configuration is valid");
     assert_eq!(config.ignored().summary(), "admin, limits.disk_mb");
-    let told = config.ignored().unreadable.join("\n");
+    let unreadable = config.ignored().unreadable.join("\n");
     for line in [
-        "limits.memory_mb: expected a number in its range, found \"much\"; the default holds",
-        "seed: expected 16 hex digits, found 17; the default holds",
+        "limits.memory_mb: expected a number in its range, found \"much\"; using the default",
+        "seed: expected 16 hex digits, found 17; using the default",
         "known: expected a list of members, found ",
     ] {
-        assert!(told.contains(line), "{line}: {told}");
+        assert!(unreadable.contains(line), "{line}: {unreadable}");
     }
     assert_eq!(config.effective()["memory_bytes"], json!(192 << 20));
 }
 
 #[test]
-fn required_keys_that_can_not_be_read_are_errors() {
+fn unreadable_required_keys_are_errors() {
     for (key, value, line) in [
         ("discovery", json!(7), "discovery: expected an address and a port, found 7"),
         ("listen", json!({"port": 8081}), "listen: "),
@@ -131,21 +132,21 @@
     ] {
         let mut file = platform_file();
         file[key] = value;
-        let error = read(file, &source()).err().unwrap_or_else(|| panic!("{key} is needed"));
+        let error = read(file, &source()).err().unwrap_or_else(|| panic!("{key} is required"));
         assert!(error.lines().len() == 1 && error.lines()[0].contains(line), "{line}: {error}");
     }
-    let elsewhere = "127.0.0.1:1".parse().expect("an address");
-    let told = Source { listen: Some(elsewhere), discovery: Some(elsewhere), ..source() };
+    let address = "127.0.0.1:1".parse().expect("the address is valid");
+    let overridden = Source { listen: Some(address), discovery: Some(address), ..source() };
     let mut file = platform_file();
     (file["listen"], file["discovery"]) = (json!(7), json!({}));
     file["settings"]["specifics"]["counter"] = json!(false);
     file["counter"] = json!([]);
-    assert!(read(file, &told).is_ok(), "what the environment says, or nobody asks for, may be anything");
+    assert!(read(file, &overridden).is_ok(), "values that are overridden or not needed may be unreadable");
 }
 
 #[test]
-fn a_class_of_unknown_effect_or_scope_is_never_repeated_and_does_not_prevent_a_start() {
-    for (key, value, unknown) in [
+fn a_class_with_an_unknown_effect_or_scope_is_not_retried_and_does_not_prevent_a_start() {
+    for (key, value, unknown_effects) in [
         ("effect", json!("idempotent_after_2027"), 1),
         ("effect", json!(["pure"]), 0),
         ("effect", json!({"kind": "pure"}), 1),
@@ -159,25 +160,25 @@
         class["key_scope"] = json!("all");
         class[key] = value.clone();
         let config = read(file, &source()).unwrap_or_else(|error| panic!("{value}: {error}"));
-        let careful = value != json!(["pure"]);
-        let wanted = if careful {
+        let is_unknown = value != json!(["pure"]);
+        let expected = if is_unknown {
             lanespan_policy::Idempotency::NonIdempotent
         } else {
             lanespan_policy::Idempotency::Idempotent
         };
-        assert_eq!(config.site.settings.classes[0].idempotency, wanted, "{value}");
-        assert_eq!(config.unknown_effects.len(), unknown, "{value}");
-        assert_eq!(!config.ignored().unreadable.is_empty(), careful, "{value} is told");
+        assert_eq!(config.site.settings.classes[0].idempotency, expected, "{value}");
+        assert_eq!(config.unknown_effects.len(), unknown_effects, "{value}");
+        assert_eq!(!config.ignored().unreadable.is_empty(), is_unknown, "{value} is reported");
     }
 }
 
 #[test]
-fn many_ignored_keys_are_reported_in_one_bounded_line() {
+fn many_ignored_keys_are_summarized_in_one_line_of_limited_length() {
     let mut file = platform_file();
     for number in 0..500 {
         file[format!("key\n{number:03}{}", "x".repeat(200))] = json!(number);
     }
-    let names = read(file, &source()).expect("it starts").ignored().summary();
-    assert!(!names.contains('\n') && names.len() < 3000, "{}", names.len());
-    assert!(names.ends_with(" and 450 more"), "{names}");
+    let summary = read(file, &source()).expect("the configuration is valid").ignored().summary();
+    assert!(!summary.contains('\n') && summary.len() < 3000, "{}", summary.len());
+    assert!(summary.ends_with(" and 450 more"), "{summary}");
 }
--- a/crates/gateway/src/config/problems.rs
+++ b/crates/gateway/src/config/problems.rs
@@ -1,20 +1,22 @@
-//! The problems of a configuration: each with its key, its value and what is allowed, and all of them at once.
+//! Deserialization of a configuration that collects all problems, each with its key, the value found and the value
+//! expected.
 
 use crate::config_error::ConfigError;
 use serde::de::DeserializeOwned;
 use serde_json::Value;
 use serde_path_to_error::{Path, Segment};
 
-/// The most problems that are reported. Guards against a file that is nothing but problems.
+/// At most this many problems are reported. Bounds the work and the output for a file that is invalid throughout.
 pub(crate) const MAX_PROBLEMS: usize = 100;
-/// A value is shown up to so many characters.
-const MAX_EXCERPT: usize = 60;
-/// What a section must be.
+/// Values in problems are cut after this many characters.
+const MAX_EXCERPT_CHARS: usize = 60;
+/// The expectation for a section that is not an object.
 const EXPECTED_OBJECT: &str = "expected an object";
-/// A misspelt key is taken for a known one up to so many edits, or one in three of its characters.
+/// A known key is suggested for an unknown one if they differ by at most this many edits, or by one edit per three
+/// characters if that is more.
 const MAX_EDITS: usize = 2;
 
-/// Problems, a line each: the place, a colon, and what is wrong there.
+/// A list of problems, one line each: the location, a colon, and what is wrong there.
 #[derive(Debug, Default)]
 pub(crate) struct Problems(Vec<String>);
 
@@ -31,13 +33,13 @@
         self.0.append(&mut other.0);
     }
 
-    /// The value, or `None` with its errors among these problems.
+    /// Returns the value, or adds the errors to these problems and returns `None`.
     pub(crate) fn collect<T>(&mut self, result: Result<T, ConfigError>) -> Option<T> {
         result.map_err(|error| self.append(error.into())).ok()
     }
 
-    /// Whether a place has a problem.
-    pub(crate) fn mention(&self, place: &str) -> bool {
+    /// Returns whether a problem has been reported at `place`.
+    pub(crate) fn has_problem_at(&self, place: &str) -> bool {
         let prefix = format!("{place}: ");
         self.0.iter().any(|line| line.starts_with(&prefix))
     }
@@ -63,15 +65,15 @@
     }
 }
 
-/// Reads a value that has these sections. What can't be read is reported and left out, so that the rest is read as well;
-/// the result is of use only where there is no problem.
+/// Deserializes a value whose keys `sections` hold objects. Unreadable values are reported and removed, so that the rest
+/// is still read. The result must be used only if there are no problems.
 pub(crate) fn read<T: DeserializeOwned>(mut value: Value, sections: &[&str]) -> (Option<T>, Problems) {
     let mut problems = Problems::default();
     if !value.is_object() {
         problems.extend([wrong_value(&value, &[], EXPECTED_OBJECT)]);
         return (None, problems);
     }
-    // Guards against a list that passes for a section, its items for values in the order of the keys.
+    // Serde accepts a list in place of a struct and takes its items for the fields in order, so lists are rejected here.
     for section in sections {
         let path = [section.to_string()];
         if value.get(section).is_some_and(Value::is_array) {
@@ -93,7 +95,7 @@
     (None, problems)
 }
 
-/// What is wrong, and the path of the key that has it.
+/// Returns the line that reports an error, and the path of the key at fault.
 fn describe(value: &Value, error: &serde_path_to_error::Error<serde_json::Error>) -> (String, Vec<String>) {
     let path = keys(error.path());
     let message = error.inner().to_string();
@@ -104,7 +106,7 @@
     }
 }
 
-/// The keys on the way to a problem; what stands in a list is reported for the whole list.
+/// Returns the keys on the path to an error. An error within a list is attributed to the list.
 fn keys(path: &Path) -> Vec<String> {
     let mut keys = Vec::new();
     for segment in path {
@@ -117,7 +119,7 @@
     keys
 }
 
-/// The path of a key, whether or not the given path ends with it.
+/// Returns a path that ends with `key`, which is appended unless the path ends with it already.
 fn with_key(path: &[String], key: &str) -> Vec<String> {
     let mut path = path.to_vec();
     if path.last().is_none_or(|last| last != key) {
@@ -146,16 +148,16 @@
     format!("{place}: {expected}, found {}", excerpt(found))
 }
 
-/// A value as JSON, cut short.
+/// Returns a value as JSON, truncated to [`MAX_EXCERPT_CHARS`].
 pub(super) fn excerpt(value: &Value) -> String {
     let text = value.to_string();
-    match text.char_indices().nth(MAX_EXCERPT) {
+    match text.char_indices().nth(MAX_EXCERPT_CHARS) {
         Some((end, _)) => format!("{}...", &text[..end]),
         None => text,
     }
 }
 
-/// Takes a key out of a value; whether it was there.
+/// Removes the key at a path from a value. Returns whether it existed.
 fn remove(value: &mut Value, path: &[String]) -> bool {
     let Some((last, parents)) = path.split_last() else { return false };
     let parent = parents.iter().try_fold(value, |value, key| value.get_mut(key));
--- a/crates/gateway/src/config/site.rs
+++ b/crates/gateway/src/config/site.rs
@@ -1,4 +1,4 @@
-//! The `settings` section: the site's settings, and the time-outs that stand among them.
+//! The `settings` section: the settings of the site, and the timeouts of connections to backends that it contains.
 
 use super::problems::{Problems, MAX_PROBLEMS};
 use super::site_check::{check_settings, Correction};
@@ -9,25 +9,25 @@
 use std::collections::{BTreeMap, HashSet};
 use std::time::Duration;
 
-/// The name of the section in problems.
+/// The name of the section, as shown in problems.
 const SECTION: &str = "settings";
 const DEFAULT_DIAL_TIMEOUT_MICROS: u64 = 250_000;
 const DEFAULT_IDLE_TIMEOUT_MICROS: u64 = 15_000_000;
 
-/// The settings of a site, as far as a gateway needs them.
+/// The validated `settings` section.
 pub(super) struct SiteSettings {
     pub(super) site: Site,
-    /// A connection to a backend must be made within this.
+    /// The timeout for opening a connection to a backend.
     pub(super) dial_timeout: Duration,
-    /// Backends close connections that are idle for so long.
+    /// Backends close connections that were idle for this time.
     pub(super) idle_timeout: Duration,
-    /// What is taken in another way than it was written, a line each.
+    /// The values that are not used as written, one line each.
     pub(super) notes: Vec<String>,
-    /// The indexes of the classes whose effect is not known.
+    /// The indexes of the classes whose effect this gateway does not know.
     pub(super) unknown_effects: HashSet<usize>,
 }
 
-/// Why settings can't be used.
+/// Why settings are invalid.
 #[derive(Debug, thiserror::Error)]
 enum SiteError {
     #[error(transparent)]
@@ -37,7 +37,7 @@
 }
 
 impl SiteError {
-    /// The key of the value that is wrong.
+    /// Returns the key of the invalid value, or an empty string if the error concerns no single key.
     fn key(&self) -> &str {
         match self {
             SiteError::Field(error) => error.field().unwrap_or_default(),
@@ -47,30 +47,32 @@
 }
 
 impl SiteSettings {
-    /// Reads the settings. What can't be read is reported and left out, as long as it may be absent.
+    /// Reads the settings. Invalid values are reported and removed, so that the rest is still read. Returns `None` if
+    /// the rest can't be read.
     pub(super) fn read(settings: &Value, origin: Origin, problems: &mut Problems) -> Option<SiteSettings> {
         let mut values = BTreeMap::new();
         flatten("", settings, &mut values);
-        let Correction { mut wrong, notes, unknown_effects } = check_settings(&mut values, problems, origin);
+        let Correction { mut reported, notes, unknown_effects } =
+            check_settings(&mut values, problems, origin);
         while problems.len() < MAX_PROBLEMS {
             let error = match read_values(&values) {
-                Ok(times) => return Some(times.into_settings(notes, unknown_effects)),
+                Ok(values) => return Some(values.into_settings(notes, unknown_effects)),
                 Err(error) => error,
             };
             let key = error.key().to_string();
-            // A key that was left out and must be there: it was reported, and nothing behind it can be read.
-            if wrong.contains(&key) {
+            // A required key that was removed after it was reported. The rest can't be read without it.
+            if reported.contains(&key) {
                 return None;
             }
             problems.extend([error.to_string()]);
             values.remove(&key)?;
-            wrong.push(key);
+            reported.push(key);
         }
         None
     }
 }
 
-/// What is read of the settings' values.
+/// The parts of the settings that are read from their values.
 struct SiteValues {
     site: Site,
     dial_timeout: Duration,
--- a/crates/gateway/src/config/site_check.rs
+++ b/crates/gateway/src/config/site_check.rs
@@ -1,83 +1,83 @@
-//! Checking the `settings` section key by key, before it is read: each problem is reported with its key and value. What
-//! may be absent, and what only the policy engine can judge, is not checked here.
+//! Checks the `settings` section key by key before it is read, and reports each problem with its key and value. Optional
+//! keys, and rules that the policy engine checks itself, are not covered here.
 
 use super::problems::Problems;
 use super::Origin;
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-/// The most classes or plans that are checked.
-const MAX_LISTED: usize = 10_000;
+/// At most this many classes or plans are checked.
+const MAX_LIST_ITEMS: usize = 10_000;
 const EFFECTS: [&str; 3] = ["pure", "token", "side_effect"];
 const KEY_SCOPES: [&str; 3] = ["all", "zone", "cell"];
-/// The effect that is never repeated: how one that is not known is taken.
-const CAUTIOUS_EFFECT: &str = "side_effect";
+/// The effect that replaces an unknown one. Requests with this effect are never repeated.
+const FALLBACK_EFFECT: &str = "side_effect";
 
-/// What was put in place of settings that can't be used.
+/// The record of the values that were replaced because they are invalid or unknown.
 #[derive(Debug, Default)]
 pub(super) struct Correction {
     /// The keys that were reported as problems.
-    pub(super) wrong: Vec<String>,
-    /// What is taken in another way than it was written, a line each.
+    pub(super) reported: Vec<String>,
+    /// The values that are not used as written, one line each.
     pub(super) notes: Vec<String>,
-    /// The indexes of the classes whose effect is not known.
+    /// The indexes of the classes whose effect this gateway does not know.
     pub(super) unknown_effects: HashSet<usize>,
 }
 
-/// The settings by their dotted names, those that are wrong replaced as they are reported.
-struct Check<'a> {
+/// A check in progress, over the settings by their dotted names. Invalid values are replaced as they are reported.
+struct SettingsCheck<'a> {
     values: &'a mut BTreeMap<String, String>,
     problems: &'a mut Problems,
     correction: Correction,
 }
 
-/// Reports what is missing or invalid and puts a valid value in its place, so that the rest can be read as well. The
-/// platform's settings may be of a later edition: an effect or scope in them that is not known is no problem, but its
-/// class is never repeated.
+/// Reports missing and invalid values and replaces them with valid ones, so that the rest can still be read. The
+/// platform's settings may be of a later version: an unknown effect or scope in them is not a problem, but requests of
+/// its class are never repeated.
 pub(super) fn check_settings(
     values: &mut BTreeMap<String, String>,
     problems: &mut Problems,
     origin: Origin,
 ) -> Correction {
-    let mut check = Check { values, problems, correction: Correction::default() };
-    check.is_above_zero("balancers");
-    check.is_present("my_number", "0");
-    check.is_above_zero("bounds.max_attempts");
-    for class in 0..check.count_named("classes") {
+    let mut check = SettingsCheck { values, problems, correction: Correction::default() };
+    check.require_above_zero("balancers");
+    check.require_present("my_number", "0");
+    check.require_above_zero("bounds.max_attempts");
+    for class in 0..check.check_names("classes") {
         check.check_class(class, origin);
     }
-    for plan in 0..check.count_named("plans") {
+    for plan in 0..check.check_names("plans") {
         check.check_plan(plan);
     }
-    check.is_present("specifics.counter", "0");
-    check.is_above_zero("specifics.units_top");
+    check.require_present("specifics.counter", "0");
+    check.require_above_zero("specifics.units_top");
     if check.has("specifics.counter", "true") || check.has("specifics.counter", "1") {
-        check.is_above_zero("specifics.count_limit");
+        check.require_above_zero("specifics.count_limit");
     }
     check.correction
 }
 
-impl Check<'_> {
+impl SettingsCheck<'_> {
     fn check_class(&mut self, class: usize, origin: Origin) {
         let key = |name: &str| format!("classes.{class}.{name}");
-        self.is_above_zero(&key("deadline"));
+        self.require_above_zero(&key("deadline"));
         match origin {
-            Origin::Operator => self.is_one_of(&key("effect"), &EFFECTS),
-            Origin::Platform => self.take_unknown_effect_cautiously(class),
+            Origin::Operator => self.require_one_of(&key("effect"), &EFFECTS),
+            Origin::Platform => self.replace_unknown_effect(class),
         }
         if self.has(&key("effect"), "token") {
-            self.is_one_of(&key("key_scope"), &KEY_SCOPES);
-            self.is_above_zero(&key("window"));
+            self.require_one_of(&key("key_scope"), &KEY_SCOPES);
+            self.require_above_zero(&key("window"));
         }
     }
 
     fn check_plan(&mut self, plan: usize) {
         let key = |name: &str| format!("plans.{plan}.{name}");
-        self.is_present(&key("per_second"), "0");
+        self.require_present(&key("per_second"), "0");
         if self.number(&key("per_second")).is_some_and(|rate| rate > 0.0) {
-            self.is_above_zero(&key("peak_units"));
+            self.require_above_zero(&key("peak_units"));
         }
         if self.number(&key("ceiling_rate")).is_some_and(|rate| rate > 0.0) {
-            self.is_above_zero(&key("cap_depth"));
+            self.require_above_zero(&key("cap_depth"));
         }
     }
 
@@ -93,23 +93,23 @@
         self.values.get(key)?.parse().ok()
     }
 
-    /// Reports a value and puts another one in its place.
+    /// Reports a value as invalid and replaces it.
     fn replace(&mut self, key: &str, expected: &str, replacement: &str) {
         let found = self.values.get(key).map_or("nothing".to_string(), |value| format!("'{value}'"));
         self.problems.add(&format!("settings: {key}"), format!("expected {expected}, found {found}"));
         self.values.insert(key.to_string(), replacement.to_string());
-        self.correction.wrong.push(key.to_string());
+        self.correction.reported.push(key.to_string());
     }
 
-    /// A key that must be there.
-    fn is_present(&mut self, key: &str, replacement: &str) {
+    /// Reports a missing key.
+    fn require_present(&mut self, key: &str, replacement: &str) {
         if !self.values.contains_key(key) {
             self.replace(key, "a value", replacement);
         }
     }
 
-    /// A number that must be there, and above 0. One that can't be read at all is reported when it is read.
-    fn is_above_zero(&mut self, key: &str) {
+    /// Reports a number that is missing or not above 0. A value that is not a number is reported later, when it is read.
+    fn require_above_zero(&mut self, key: &str) {
         let valid = match self.values.get(key) {
             None => false,
             Some(text) => text.parse::<f64>().map_or(true, |number| number > 0.0),
@@ -119,48 +119,50 @@
         }
     }
 
-    fn is_one_of(&mut self, key: &str, known: &[&str]) {
+    /// Reports a value that is not one of `known`.
+    fn require_one_of(&mut self, key: &str, known: &[&str]) {
         if !self.has_any_of(key, known) {
             self.replace(key, &known.join(", "), known[0]);
         }
     }
 
-    /// Takes a class for one that is never repeated if its effect, or the scope of its keys, is not known.
-    fn take_unknown_effect_cautiously(&mut self, class: usize) {
+    /// Treats a class as one whose requests are never repeated if its effect, or the scope of its keys, is unknown.
+    fn replace_unknown_effect(&mut self, class: usize) {
         let effect = format!("classes.{class}.effect");
         let scope = format!("classes.{class}.key_scope");
         if !self.has_any_of(&effect, &EFFECTS) {
             self.correction.unknown_effects.insert(class);
-            self.take_cautiously(class, &effect, &EFFECTS);
+            self.use_fallback_effect(class, &effect, &EFFECTS);
         } else if self.has(&effect, "token") && !self.has_any_of(&scope, &KEY_SCOPES) {
-            self.take_cautiously(class, &scope, &KEY_SCOPES);
+            self.use_fallback_effect(class, &scope, &KEY_SCOPES);
         }
-        // Only classes with idempotency keys have a scope that counts.
+        // The scope matters only for classes with idempotency keys.
         if !self.has(&effect, "token") {
             self.values.remove(&scope);
         }
     }
 
-    fn take_cautiously(&mut self, class: usize, key: &str, known: &[&str]) {
+    /// Replaces the effect of a class because the value of `key` is unknown, and notes this.
+    fn use_fallback_effect(&mut self, class: usize, key: &str, known: &[&str]) {
         let found = self.values.get(key).map_or("nothing".to_string(), |value| format!("{value:?}"));
         let expected = known.join(", ");
         let note =
             format!("settings: {key}: expected {expected}, found {found}; its requests are never repeated");
         self.correction.notes.push(note);
-        self.values.insert(format!("classes.{class}.effect"), CAUTIOUS_EFFECT.to_string());
+        self.values.insert(format!("classes.{class}.effect"), FALLBACK_EFFECT.to_string());
     }
 
-    /// How many items a list has, each with a name of its own.
-    fn count_named(&mut self, list: &str) -> usize {
+    /// Checks that a list is not empty and that its items have distinct names. Returns the number of its items.
+    fn check_names(&mut self, list: &str) -> usize {
         let count = self.number(&format!("{list}.count")).map_or(0, |count| count as usize);
         if count == 0 {
             self.problems.add(&format!("settings: {list}"), "expected at least one, found none");
         }
         let mut first_with_name = HashMap::new();
-        for index in 0..count.min(MAX_LISTED) {
+        for index in 0..count.min(MAX_LIST_ITEMS) {
             let key = format!("{list}.{index}.name");
             let unique_name = format!("{list} {index}");
-            self.is_present(&key, &unique_name);
+            self.require_present(&key, &unique_name);
             let name = self.values.get(&key).cloned().unwrap_or_default();
             if let Some(first) = first_with_name.get(&name) {
                 let expected = format!("another name than {list}.{first}.name has");
@@ -169,6 +171,6 @@
                 first_with_name.insert(name, index);
             }
         }
-        count.min(MAX_LISTED)
+        count.min(MAX_LIST_ITEMS)
     }
 }
--- a/crates/gateway/src/config/sockets.rs
+++ b/crates/gateway/src/config/sockets.rs
@@ -1,25 +1,25 @@
-//! How descriptors are shared out, so that no kind of connection can starve another.
+//! Divides the limit on open descriptors among the kinds of connections, so that none can starve another.
 
-/// The most connections to the counter, which resets further ones.
+/// Maximum connections to the counter, which resets further ones.
 const MAX_COUNTER_CONNECTIONS: usize = 32;
 
-/// The most connections of each kind.
+/// The maximum number of connections of each kind.
 #[derive(Debug, Clone, Copy)]
 pub struct SocketLimits {
-    /// From clients.
+    /// Connections from clients.
     pub clients: usize,
-    /// To backends, where the `pool` section names no number.
+    /// Connections to backends, unless the `pool` section sets another limit.
     pub backends: usize,
-    /// The most to backends that the `pool` section may name.
+    /// The highest limit on connections to backends that the `pool` section may set.
     pub max_backends: usize,
-    /// To the counter.
+    /// Connections to the counter.
     pub counter: usize,
 }
 
 impl SocketLimits {
-    /// Shares out so many descriptors. What is left over, at least a sixteenth, is for standard streams, the listener,
+    /// Divides `sockets` descriptors. The remainder, at least a sixteenth, is left for standard streams, the listener,
     /// epoll and discovery.
-    pub(super) fn share_out(sockets: usize) -> SocketLimits {
+    pub(super) fn allocate(sockets: usize) -> SocketLimits {
         let clients = (sockets / 2).max(1);
         let counter = (sockets / 16).clamp(1, MAX_COUNTER_CONNECTIONS);
         let backends = (sockets / 4).max(1);
--- a/crates/gateway/src/config_error.rs
+++ b/crates/gateway/src/config_error.rs
@@ -1,28 +1,28 @@
-//! Why a gateway can't start with its configuration.
+//! The error of an invalid configuration.
 
-/// A configuration that a gateway can't start with: all problems, one line each.
+/// An invalid configuration, with which a gateway can't start. Holds all problems, one line each.
 #[derive(Debug, thiserror::Error)]
 #[error("{}", .0.join("; "))]
 pub struct ConfigError(Vec<String>);
 
 impl ConfigError {
-    pub(crate) fn new(line: String) -> ConfigError {
-        ConfigError(vec![line])
+    pub(crate) fn new(problem: String) -> ConfigError {
+        ConfigError(vec![problem])
     }
 
-    /// Each problem.
+    /// Returns the problems, one line each.
     pub fn lines(&self) -> &[String] {
         &self.0
     }
 
-    /// The same problems, each with the place in the configuration where it is.
-    pub(crate) fn at(self, place: &str) -> ConfigError {
-        self.at_each(|_| place.to_string())
+    /// Prefixes each problem with `location`, such as the name of the file.
+    pub(crate) fn with_location(self, location: &str) -> ConfigError {
+        self.with_locations(|_| location.to_string())
     }
 
-    /// The same problems, each with the place that `place` names for it.
-    pub(crate) fn at_each(self, place: impl Fn(&str) -> String) -> ConfigError {
-        ConfigError(self.0.into_iter().map(|line| format!("{}: {line}", place(&line))).collect())
+    /// Prefixes each problem with the location that `location_of` returns for it.
+    pub(crate) fn with_locations(self, location_of: impl Fn(&str) -> String) -> ConfigError {
+        ConfigError(self.0.into_iter().map(|line| format!("{}: {line}", location_of(&line))).collect())
     }
 }
 
--- a/crates/gateway/src/names.rs
+++ b/crates/gateway/src/names.rs
@@ -1,7 +1,7 @@
-//! The names that a deployment gives to headers, paths, fields and states on its sockets. Where it gives none, those of
-//! the platform's protocol hold; what is sent under them is the same everywhere.
+//! The names that a deployment uses for headers, paths, fields and states on the wire. Names that it does not set are
+//! those of the platform's protocol. The values sent under these names are the same in every deployment.
 //!
-//! This is the one place where the gateway knows these names: everything else goes by the terms of [`Headers`],
+//! Only this module knows the names on the wire; the rest of the gateway uses the terms of [`Headers`],
 //! [`DiscoveryCall`] and [`CounterCall`].
 
 use crate::config::problems::Problems;
@@ -11,24 +11,24 @@
 use serde_json::Value;
 use std::collections::{BTreeMap, HashSet};
 
-/// The names in force.
+/// The names of a deployment.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Names {
-    /// The headers of clients' requests and backends' answers.
+    /// The headers of clients' requests and backends' responses.
     pub headers: Headers,
-    /// The query parameter that holds a customer, with its `=`.
+    /// The query parameter that names the customer, including the `=`.
     pub customer_parameter: String,
     /// The path of the readiness check.
     pub ready_path: String,
-    /// How discovery is called.
+    /// The path and parameters of a call to discovery.
     pub discovery: DiscoveryCall,
-    /// How the counter is called.
+    /// The path and parameters of a call to the counter.
     pub counter: CounterCall,
-    /// How the endpoint list is written.
+    /// The fields and states of the endpoint list.
     endpoint_list: EndpointListNames,
 }
 
-/// The headers of clients' requests and backends' answers.
+/// The headers of clients' requests and backends' responses.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Headers {
     /// The client's id of a request.
@@ -37,44 +37,44 @@
     pub class: HeaderName,
     /// The customer's quota plan.
     pub plan: HeaderName,
-    /// How long the client waits, in milliseconds.
+    /// The client's timeout, in milliseconds.
     pub timeout: HeaderName,
     /// Set to 1 on a client's retry.
     pub retry: HeaderName,
-    /// Units, spread over gateways, and the first of these.
+    /// The units of a request, the number of gateways over which the customer is spread, and the first of these.
     pub quota: HeaderName,
     /// A backend's load report.
     pub load_report: HeaderName,
-    /// Set to 1 on an answer to a request that never ran.
+    /// Set to 1 on a response to a request that was not executed.
     pub rejected: HeaderName,
 }
 
-/// How discovery is called.
+/// The path and parameters of a call to discovery.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DiscoveryCall {
     /// The path of the endpoint list.
     pub path: String,
-    /// The parameter of the revision after which changes are wanted.
+    /// The parameter for the revision after which changes are requested.
     pub after_parameter: String,
-    /// The parameter of the time to wait for a change, in milliseconds.
+    /// The parameter for the time to wait for a change, in milliseconds.
     pub wait_parameter: String,
 }
 
-/// How the counter is called.
+/// The path and parameters of a call to the counter.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CounterCall {
-    /// The path before a number's key.
+    /// The path that precedes the key.
     pub path: String,
-    /// The parameter of the amount.
+    /// The parameter for the amount to add.
     pub amount_parameter: String,
-    /// The parameter of a new number's lifetime, in milliseconds.
+    /// The parameter for the lifetime of a new key, in milliseconds.
     pub lifetime_parameter: String,
 }
 
-/// This deployment's name for a thing, and the protocol's.
+/// A name of the deployment, and the protocol's name for the same field or state.
 type Alias = (String, &'static str);
 
-/// How the endpoint list is written.
+/// The names of the endpoint list's fields and states.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct EndpointListNames {
     list_fields: Vec<Alias>,
@@ -82,7 +82,7 @@
     states: Vec<Alias>,
 }
 
-/// A deployment's names in the platform's form. What is absent is as in the protocol.
+/// A deployment's names in the platform's format. Absent names are those of the protocol.
 #[derive(Default, Deserialize)]
 #[serde(default)]
 struct PlatformNames {
@@ -97,11 +97,11 @@
     counter: BTreeMap<String, String>,
     key_name: Option<String>,
     #[serde(flatten)]
-    forms: BTreeMap<String, Value>,
+    encodings: BTreeMap<String, Value>,
 }
 
-/// The forms in which things are sent, of which this gateway knows one each.
-const FORMS: [(&str, &str); 6] = [
+/// The encodings that a deployment may choose, by their keys, with the one value that this gateway supports.
+const ENCODINGS: [(&str, &str); 6] = [
     ("proto", "http"),
     ("deadline_form", "ms"),
     ("load_form", "orca"),
@@ -109,11 +109,11 @@
     ("key_in", "query"),
     ("discovery", "poll"),
 ];
-/// The same of the counter.
-const COUNTER_FORMS: [(&str, &str); 2] = [("proto", "http"), ("verb", "ADDGET")];
-/// Fields around the entries of the endpoint list, by the platform's key for each and the protocol's name.
+/// The same for calls to the counter.
+const COUNTER_ENCODINGS: [(&str, &str); 2] = [("proto", "http"), ("verb", "ADDGET")];
+/// The top-level fields of the endpoint list: the platform's key for each, and the protocol's name.
 const LIST_FIELDS: [(&str, &str); 3] = [("version", "revision"), ("full", "complete"), ("list", "members")];
-/// Fields of each entry.
+/// The fields of an entry: the platform's key for each, and the protocol's name.
 const ENTRY_FIELDS: [(&str, &str); 8] = [
     ("id", "id"),
     ("addr", "host_port"),
@@ -124,20 +124,24 @@
     ("weight", "size"),
     ("started", "up_since_ms"),
 ];
-/// The states of an entry.
+/// The states of an entry: the platform's key for each, and the protocol's name.
 const STATES: [(&str, &str); 3] = [("ready", "ready"), ("draining", "draining"), ("gone", "gone")];
 
 impl Default for Names {
     fn default() -> Names {
         match Names::read(&Value::Object(Default::default())) {
             Ok(names) => names,
-            Err(error) => unreachable!("the protocol's own names: {error}"),
+            Err(error) => unreachable!("the protocol's names are valid: {error}"),
         }
     }
 }
 
 impl Names {
-    /// Reads a deployment's names from the platform's form and reports all that is wrong with them.
+    /// Reads a deployment's names from the platform's format.
+    ///
+    /// # Errors
+    ///
+    /// Returns every problem of the names.
     pub fn read(value: &Value) -> Result<Names, ConfigError> {
         if !value.is_object() {
             return Err(ConfigError::new(format!("names: expected an object, found {value}")));
@@ -145,7 +149,7 @@
         let platform = PlatformNames::deserialize(value);
         let platform = platform.map_err(|error| ConfigError::new(format!("names: {error}")))?;
         let mut reader = NamesReader { platform, problems: Problems::default() };
-        reader.check_forms();
+        reader.check_encodings();
         let headers = reader.headers();
         let ready_path = reader.path("paths.ready", |names| names.paths.get("ready"), "/_health");
         let discovery = reader.discovery();
@@ -161,7 +165,7 @@
         Ok(Names { headers, customer_parameter, ready_path, discovery, counter, endpoint_list })
     }
 
-    /// An endpoint list, or changes to it, with the protocol's names for this deployment's.
+    /// Replaces this deployment's names by the protocol's in an endpoint list, or in changes to one.
     pub fn to_protocol(&self, mut list: Value) -> Value {
         let EndpointListNames { list_fields, entry_fields, states } = &self.endpoint_list;
         let aliases = [list_fields, entry_fields, states].into_iter().flatten();
@@ -182,24 +186,24 @@
     }
 }
 
-/// Reads names one by one and collects what is wrong with them.
+/// Reads names one by one and collects their problems.
 struct NamesReader {
     platform: PlatformNames,
     problems: Problems,
 }
 
 impl NamesReader {
-    fn check_forms(&mut self) {
-        for (key, known) in FORMS {
-            let found = self.platform.forms.get(key).filter(|form| form.as_str() != Some(known));
+    fn check_encodings(&mut self) {
+        for (key, supported) in ENCODINGS {
+            let found = self.platform.encodings.get(key).filter(|value| value.as_str() != Some(supported));
             if let Some(found) = found {
-                self.problems.add(&format!("names: {key}"), format!("expected '{known}', found {found}"));
+                self.problems.add(&format!("names: {key}"), format!("expected '{supported}', found {found}"));
             }
         }
-        for (key, known) in COUNTER_FORMS {
-            if let Some(found) = self.platform.counter.get(key).filter(|form| *form != known) {
+        for (key, supported) in COUNTER_ENCODINGS {
+            if let Some(found) = self.platform.counter.get(key).filter(|value| *value != supported) {
                 let place = format!("names: counter.{key}");
-                self.problems.add(&place, format!("expected '{known}', found '{found}'"));
+                self.problems.add(&place, format!("expected '{supported}', found '{found}'"));
             }
         }
     }
@@ -220,7 +224,7 @@
     fn header(&mut self, key: &str, protocol_name: &'static str) -> HeaderName {
         let name = self.platform.headers.get(key).map_or(protocol_name, String::as_str);
         HeaderName::from_bytes(name.as_bytes()).unwrap_or_else(|_| {
-            let message = format!("expected a header's name, found '{name}'");
+            let message = format!("expected a header name, found '{name}'");
             self.problems.add(&format!("names: h.{key}"), message);
             HeaderName::from_static(protocol_name)
         })
@@ -259,7 +263,7 @@
     ) -> Vec<Alias> {
         let alias = |&(key, protocol_name): &(&str, &'static str)| {
             let given = find(&self.platform, key);
-            (self.plain(&format!("{group}.{key}"), given, protocol_name, Kind::Name), protocol_name)
+            (self.validate(&format!("{group}.{key}"), given, protocol_name, Kind::Name), protocol_name)
         };
         keys.iter().map(alias).collect()
     }
@@ -271,7 +275,7 @@
         protocol_name: &str,
     ) -> String {
         let given = find(&self.platform).cloned();
-        self.plain(place, given, protocol_name, Kind::Name)
+        self.validate(place, given, protocol_name, Kind::Name)
     }
 
     fn path(
@@ -281,17 +285,18 @@
         protocol_path: &str,
     ) -> String {
         let given = find(&self.platform).cloned();
-        self.plain(place, given, protocol_path, Kind::Path)
+        self.validate(place, given, protocol_path, Kind::Path)
     }
 
-    /// A name or path that needs no escaping in a URI.
-    fn plain(&mut self, place: &str, given: Option<String>, protocol_name: &str, kind: Kind) -> String {
+    /// Returns the given name or path, or the protocol's if none is given. One that would need escaping in a URI is
+    /// reported.
+    fn validate(&mut self, place: &str, given: Option<String>, protocol_name: &str, kind: Kind) -> String {
         let name = given.unwrap_or_else(|| protocol_name.to_string());
         if kind.allows(&name) {
             return name;
         }
         let expected = kind.description();
-        let message = format!("expected {expected} of plain letters, found '{name}'");
+        let message = format!("expected {expected} of letters, digits and -_.~, found '{name}'");
         self.problems.add(&format!("names: {place}"), message);
         protocol_name.to_string()
     }
@@ -308,18 +313,18 @@
         self.check_distinct("states", names.states.iter().map(|(name, _)| name));
     }
 
-    /// Reports names that stand for two things.
+    /// Reports names that are used more than once in a group.
     fn check_distinct<'a>(&mut self, group: &str, names: impl Iterator<Item = &'a String>) {
         let mut seen = HashSet::new();
         for name in names {
             if !seen.insert(name) {
-                self.problems.add(&format!("names: {group}"), format!("'{name}' stands for two things"));
+                self.problems.add(&format!("names: {group}"), format!("'{name}' is used more than once"));
             }
         }
     }
 }
 
-/// What is named.
+/// The kind of a value that is used in a URI.
 #[derive(Clone, Copy)]
 enum Kind {
     Name,
@@ -328,11 +333,11 @@
 
 impl Kind {
     fn allows(self, name: &str) -> bool {
-        let is_plain = |character: char| character.is_ascii_alphanumeric() || "-_.~".contains(character);
+        let is_unreserved = |character: char| character.is_ascii_alphanumeric() || "-_.~".contains(character);
         match self {
-            Kind::Name => !name.is_empty() && name.chars().all(is_plain),
+            Kind::Name => !name.is_empty() && name.chars().all(is_unreserved),
             Kind::Path => name.strip_prefix('/').is_some_and(|rest| {
-                !rest.is_empty() && rest.chars().all(|character| is_plain(character) || character == '/')
+                !rest.is_empty() && rest.chars().all(|character| is_unreserved(character) || character == '/')
             }),
         }
     }
@@ -340,13 +345,13 @@
     fn description(self) -> &'static str {
         match self {
             Kind::Name => "a name",
-            Kind::Path => "a path",
+            Kind::Path => "an absolute path",
         }
     }
 }
 
-/// Gives an object's fields the protocol's names. What has none of these names is left out, as it could pass for a field
-/// that it is not.
+/// Replaces the names of an object's fields by the protocol's. Fields without an alias are dropped, because their names
+/// may be those of other fields in the protocol.
 fn rename_fields(object: &mut Value, aliases: &[Alias]) {
     let Some(fields) = object.as_object_mut() else { return };
     let mut given = std::mem::take(fields);
--- a/crates/lanespan/tests/command.rs
+++ b/crates/lanespan/tests/command.rs
@@ -114,7 +114,7 @@
         (json!({"most": 1}), "fleet.most: expected settings.balancers, 2, or more, found 1"),
         (
             json!({"listen": "0.0.0.0:7946"}),
-            "fleet.advertise: must be there where fleet.listen names no address",
+            "fleet.advertise: must name an address if fleet.listen is unspecified",
         ),
         (json!({"join": ["here"]}), "fleet.join: expected an address and a port"),
         (json!({"cluster": 3}), "fleet.cluster: "),
@@ -156,14 +156,14 @@
         (
             "voters",
             json!({ "v0": voter("a", 1), "v1": voter("b", 1), "v2": voter("c", 3) }),
-            "voters: two have one address",
+            "voters: two voters have the same address",
         ),
         ("tick_ms", json!(5), "tick_ms: expected 10 or more, found 5"),
         ("lease_ms", json!(100), "lease_ms: expected 20 ticks, 2000, or more, found 100"),
         (
             "listen",
             json!("0.0.0.0:7947"),
-            "advertise: must be there where fleet.plan.listen names no address",
+            "advertise: must name an address if fleet.plan.listen is unspecified",
         ),
         ("ticks", json!(5), "ticks: unknown; known are listen, "),
     ] {
@@ -174,7 +174,7 @@
     let mut voting = one("tick_ms", json!(100));
     voting["name"] = json!("v0");
     let (code, lines) = check(&voting.to_string());
-    assert!(code == Some(2) && lines[0].contains("fleet.plan.directory: must be there"), "{lines:?}");
+    assert!(code == Some(2) && lines[0].contains("fleet.plan.directory: required"), "{lines:?}");
     let mut nameless = with("fleet", json!({}));
     nameless["name"] = json!("");
     let (code, lines) = check(&nameless.to_string());
--- a/crates/lanespan/tests/sites.rs
+++ b/crates/lanespan/tests/sites.rs
@@ -181,11 +181,15 @@
     let site = &sites()[0];
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("names-{}.json", std::process::id()));
     for (pointer, value, line) in [
-        ("/h/id", json!("no header"), "h.id: expected a header's name, found 'no header'"),
+        ("/h/id", json!("no header"), "h.id: expected a header name, found 'no header'"),
         ("/h/class", site.told["h"]["id"].clone(), "h: '"),
-        ("/paths/list", json!("nodes"), "paths.list: expected a path of plain letters, found 'nodes'"),
+        (
+            "/paths/list",
+            json!("nodes"),
+            "paths.list: expected an absolute path of letters, digits and -_.~, found 'nodes'",
+        ),
         ("/states/gone", site.told["states"]["ready"].clone(), "states: '"),
-        ("/f/state", json!(""), "f.state: expected a name of plain letters, found ''"),
+        ("/f/state", json!(""), "f.state: expected a name of letters, digits and -_.~, found ''"),
         ("/key_in", json!("path"), "key_in: expected 'query', found \"path\""),
         ("/counter/verb", json!("INCR"), "counter.verb: expected 'ADDGET', found 'INCR'"),
     ] {
