--- a/crates/gateway/src/admin.rs
+++ b/crates/gateway/src/admin.rs
@@ -1,6 +1,7 @@
-//! The admin interface for operators: `/metrics`, `/healthz`, `/readyz`, `/debug/state` and, with a fleet, `/fleet/`, on
-//! an address of its own. It has bounds of its own, and answers one call a connection at a pace, so that its clients
-//! can't slow requests. Only proposals to the fleet document change anything.
+//! The admin interface for operators: `/metrics`, `/healthz`, `/readyz`, `/debug/state` and, with a fleet, `/fleet/`. It
+//! listens on a separate address with separate limits, answers one request per connection and limits the rate of
+//! connections, so that its clients can't slow down the requests of customers. Only proposals to the fleet document
+//! change any state.
 
 use crate::config::document::AdminSection;
 use crate::driver::{AdminQuery, AdminReport, DriverEvent, DriverSender};
@@ -42,37 +43,35 @@
 const TEXT: &str = "text/plain; charset=utf-8";
 const JSON: &str = "application/json";
 
-/// The pause between two accepts: at most fifty connections a second.
+/// The pause between two accepts, which limits the rate to 50 connections per second.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// The longest head of a call, in bytes.
-const MAX_HEAD: usize = 8 * 1024;
-/// The longest body of a call, in bytes.
-const MAX_BODY: usize = 16 * 1024;
+const MAX_HEAD_BYTES: usize = 8 * 1024;
+const MAX_BODY_BYTES: usize = 16 * 1024;
 
-/// What the admin interface shows.
+/// The parts of the gateway that the admin interface reports on.
 #[derive(Clone)]
 pub struct Sources {
     /// The driver of this gateway.
     pub driver: DriverSender,
-    /// The fleet, where this gateway is in one.
+    /// The fleet, if this gateway is in one.
     pub fleet: Option<Rc<Fleet>>,
-    /// Replication of the fleet document, where this gateway takes part.
+    /// Replication of the fleet document, if this gateway takes part in it.
     pub replication: Option<Rc<ReplicationService>>,
 }
 
-/// Serves operators for ever.
+/// Serves the admin interface. Never returns.
 pub async fn serve(listener: TcpListener, section: AdminSection, sources: Sources) {
     let connections = Arc::new(Semaphore::new(section.connections.get()));
     let max_duration = section.timeout_ms.to_duration();
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                // Above the bound a connection is closed at once.
+                // Without a free permit the connection is closed at once.
                 if let Ok(permit) = connections.clone().try_acquire_owned() {
                     let sources = sources.clone();
                     spawn_local(async move {
                         let _permit = permit;
-                        // The client may send slowly, or never read.
+                        // The timeout covers clients that send slowly or never read the response.
                         let _ = timeout(max_duration, serve_connection(stream, sources)).await;
                     });
                 }
@@ -83,7 +82,7 @@
     }
 }
 
-/// Answers one call and closes the connection.
+/// Answers one request and closes the connection.
 async fn serve_connection(stream: TcpStream, sources: Sources) {
     let service = service_fn(|request| {
         let sources = sources.clone();
@@ -95,13 +94,13 @@
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .keep_alive(false)
-        .max_buf_size(MAX_HEAD)
+        .max_buf_size(MAX_HEAD_BYTES)
         .serve_connection(TokioIo::new(stream), service);
-    // A client that breaks off gets no answer.
+    // If the client disconnects early, there is no response to send.
     let _ = connection.await;
 }
 
-/// Why a call is not answered as asked.
+/// Why a request to the admin interface fails.
 #[derive(Debug, thiserror::Error)]
 enum AdminError {
     #[error("no such path")]
@@ -134,7 +133,7 @@
     }
 }
 
-/// The answer to a call.
+/// The response to a request.
 struct Reply {
     status: StatusCode,
     content_type: &'static str,
@@ -159,7 +158,7 @@
     }
 }
 
-/// What a call asks for, and who answers it.
+/// The resource that a request addresses, with the component that provides it.
 enum Route<'a> {
     Metrics,
     Health,
@@ -174,10 +173,10 @@
 }
 
 impl Route<'_> {
-    fn of<'a>(method: &Method, path: &str, sources: &'a Sources) -> Result<Route<'a>, AdminError> {
+    fn parse<'a>(method: &Method, path: &str, sources: &'a Sources) -> Result<Route<'a>, AdminError> {
         if let Some(replication) = &sources.replication {
             if path.starts_with(DOCUMENT_PATH) || path == LEASES_PATH {
-                return Route::of_replication(method, path, replication);
+                return Route::parse_replication(method, path, replication);
             }
         }
         if method != Method::GET {
@@ -193,7 +192,7 @@
         }
     }
 
-    fn of_replication<'a>(
+    fn parse_replication<'a>(
         method: &Method,
         path: &str,
         replication: &'a ReplicationService,
@@ -211,7 +210,7 @@
 
 async fn answer(request: Request<Incoming>, sources: &Sources) -> Result<Reply, AdminError> {
     let (head, body) = request.into_parts();
-    match Route::of(&head.method, head.uri.path(), sources)? {
+    match Route::parse(&head.method, head.uri.path(), sources)? {
         Route::Metrics => metrics(&sources.driver).await,
         Route::Health => ready(&sources.driver).await.map(|_| Reply::text(StatusCode::OK, "alive\n")),
         Route::Ready => readiness(&sources.driver).await,
@@ -220,8 +219,10 @@
         Route::Document(replication) => Ok(Reply::json(&replication.document_status())),
         Route::History(replication) => Ok(Reply::json(&replication.document_history())),
         Route::Leases(replication) => Ok(Reply::json(&replication.leases_status())),
-        Route::Propose(replication) => decided(&replication.propose(read_json(body).await?).await),
-        Route::ChangeVoters(replication) => decided(&replication.change_voters(read_json(body).await?).await),
+        Route::Propose(replication) => proposal_reply(&replication.propose(read_json(body).await?).await),
+        Route::ChangeVoters(replication) => {
+            proposal_reply(&replication.change_voters(read_json(body).await?).await)
+        }
     }
 }
 
@@ -255,7 +256,7 @@
     }
 }
 
-/// Asks the driver, which answers between two events.
+/// Sends a query to the driver, which answers it between two events.
 async fn inspect(driver: &DriverSender, query: AdminQuery) -> Result<AdminReport, AdminError> {
     let (reply, report) = oneshot::channel();
     let sent = driver.send(DriverEvent::Inspect { query, reply }).await;
@@ -268,13 +269,13 @@
     Ok(Reply { status: StatusCode::OK, content_type: JSON, body: (view + "\n").into() })
 }
 
-/// The answer to a proposal, with the status that says what became of it.
-fn decided(reply: &replication::Reply) -> Result<Reply, AdminError> {
+/// Returns the response to a proposal. Its status reflects the result of the proposal.
+fn proposal_reply(reply: &replication::Reply) -> Result<Reply, AdminError> {
     let Answer { status, body } = Answer::from_reply(reply).map_err(AdminError::Unserializable)?;
     Ok(Reply { status, content_type: JSON, body })
 }
 
 async fn read_json<T: DeserializeOwned>(body: Incoming) -> Result<T, AdminError> {
-    let body = Limited::new(body, MAX_BODY).collect().await.map_err(AdminError::UnreadableBody)?;
+    let body = Limited::new(body, MAX_BODY_BYTES).collect().await.map_err(AdminError::UnreadableBody)?;
     serde_json::from_slice(&body.to_bytes()).map_err(AdminError::MalformedBody)
 }
--- a/crates/gateway/src/config/platform.rs
+++ b/crates/gateway/src/config/platform.rs
@@ -135,7 +135,7 @@
     /// Removes unreadable values, except those that a gateway can't start without.
     fn drop_unreadable(&mut self, overrides: Overrides) {
         const ADDRESS: &str = "an address and a port";
-        self.drop_unless("name", "a text", Value::is_string);
+        self.drop_unless("name", "a string", Value::is_string);
         self.drop_unless("seed", "16 hex digits", is_seed);
         if overrides.listen {
             self.drop_unless("listen", ADDRESS, is_address);
--- a/crates/gateway/src/counter.rs
+++ b/crates/gateway/src/counter.rs
@@ -1,4 +1,5 @@
-//! The shared counter: calls over a few connections, each made once, and their replies put into the order of the calls.
+//! A client of the shared counter: makes calls over a few connections, each call once, and puts the replies into the
+//! order of the calls.
 
 use super::http::{CallError, Connection};
 use super::names;
@@ -14,15 +15,15 @@
 use tokio::time::{timeout, Instant};
 use tracing::warn;
 
-/// An idle connection is closed after this; the counter closes it after 10 s or less.
-const MAX_IDLE: Duration = Duration::from_secs(4);
+/// Connections that were idle for longer are not reused, because the counter closes them after 10 s or less.
+const MAX_IDLE_TIME: Duration = Duration::from_secs(4);
 
 /// How one call ended.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct CounterReply {
-    /// The outcome.
+    /// The outcome of the call.
     pub outcome: Outcome,
-    /// The key's total after a call that succeeded, else 0.
+    /// The total of the key after a successful call, 0 otherwise.
     pub total: f64,
 }
 
@@ -32,14 +33,14 @@
     }
 }
 
-/// How the counter is called, whatever its address.
+/// The parameters of a client, which are independent of the counter's address.
 #[derive(Debug, Clone)]
 pub struct Params {
-    /// A call is given up after this.
+    /// The timeout of a call, including the wait for a connection.
     pub timeout: Duration,
-    /// The most connections; further calls wait for one.
+    /// The maximum number of connections. Further calls wait for a free one.
     pub max_connections: usize,
-    /// What the deployment calls the path and the parameters of a call.
+    /// The deployment's names for the path and the parameters of a call.
     pub names: names::CounterCall,
 }
 
@@ -52,19 +53,19 @@
 }
 
 impl Counter {
-    /// A client without connections; they are opened as calls need them.
+    /// Creates a client without connections. They are opened when calls need them.
     pub fn new(address: SocketAddr, params: Params) -> Counter {
         let connections = Semaphore::new(params.max_connections);
         Counter { address, params, idle: RefCell::default(), connections }
     }
 
-    /// Where the counter is.
+    /// Returns the address of the counter.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Adds an amount to a key. A call without a reply in time closes its connection, so that a late reply meets no
-    /// later call.
+    /// Adds an amount to a key. A call that times out closes its connection, so that a late reply is not taken as the
+    /// reply to a later call.
     pub async fn add(&self, key: CounterKey, amount: f64, lifetime: Micros) -> CounterReply {
         let sent = Cell::new(false);
         match timeout(self.params.timeout, self.exchange(key, amount, lifetime, &sent)).await {
@@ -74,7 +75,7 @@
         }
     }
 
-    /// Makes one call; `sent` is set while it may have reached the counter.
+    /// Makes one call. `sent` is true while the call may have reached the counter.
     async fn exchange(
         &self,
         key: CounterKey,
@@ -82,7 +83,7 @@
         lifetime: Micros,
         sent: &Cell<bool>,
     ) -> CounterReply {
-        // The semaphore is never closed.
+        // Acquiring fails only if the semaphore is closed, which never happens.
         let Ok(_permit) = self.connections.acquire().await else { return Outcome::NotSent.into() };
         loop {
             let pooled = self.pop_idle();
@@ -98,10 +99,10 @@
             match connection.call(self.request(key, amount, lifetime)).await {
                 Ok(response) => {
                     let reply = read_reply(response.status(), response.body());
-                    self.give_back(connection, &reply);
+                    self.release(connection, &reply);
                     return reply;
                 }
-                // A pooled connection may have been closed just before it was written to.
+                // The counter may have closed a pooled connection just before the write; the next one is tried.
                 Err(CallError::NotSent) if reused => sent.set(false),
                 Err(CallError::NotSent) => return Outcome::ConnectFailed.into(),
                 Err(CallError::Broken) => return Outcome::ConnectionReset.into(),
@@ -112,15 +113,16 @@
     fn pop_idle(&self) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
         while let Some(mut connection) = idle.pop() {
-            if connection.idle_since.elapsed() < MAX_IDLE && connection.is_usable() {
+            if connection.idle_since.elapsed() < MAX_IDLE_TIME && connection.is_usable() {
                 return Some(connection);
             }
         }
         None
     }
 
-    /// Keeps a connection for later calls. Guards against one whose replies can't be read any more.
-    fn give_back(&self, mut connection: Connection, reply: &CounterReply) {
+    /// Returns a connection to the pool. It is dropped after a reply with an unexpected status or without a number,
+    /// because later replies on it may be unreadable as well.
+    fn release(&self, mut connection: Connection, reply: &CounterReply) {
         if reply.outcome != Outcome::ServerError && connection.is_usable() {
             connection.idle_since = Instant::now();
             self.idle.borrow_mut().push(connection);
@@ -132,7 +134,7 @@
         *request.method_mut() = Method::POST;
         let names::CounterCall { path, amount_parameter, lifetime_parameter } = &self.params.names;
         let lifetime_ms = (lifetime.0 / 1_000).max(1);
-        // Letters, digits and signs alone: always a valid URI.
+        // All parts consist of unreserved URI characters, so the URI is always valid.
         let uri = format!("{path}/{}?{amount_parameter}={amount}&{lifetime_parameter}={lifetime_ms}", key.0);
         if let Ok(uri) = uri.parse() {
             *request.uri_mut() = uri;
@@ -148,7 +150,7 @@
     match status {
         StatusCode::OK => read_total(body),
         StatusCode::SERVICE_UNAVAILABLE => Outcome::Rejected.into(),
-        // No such call: nothing was added.
+        // The counter does not know such a call, so nothing was added.
         StatusCode::BAD_REQUEST | StatusCode::NOT_FOUND => Outcome::NotSent.into(),
         status => {
             warn!(%status, "counter replied with an unexpected status");
@@ -162,20 +164,20 @@
     match text.parse::<f64>() {
         Ok(total) if total.is_finite() => CounterReply { outcome: Outcome::Success, total },
         _ => {
-            warn!("counter replied 200 without a number");
+            warn!("counter replied with status 200 but without a number");
             Outcome::ServerError.into()
         }
     }
 }
 
-/// A call whose reply has not been handed on yet.
+/// A call whose reply has not been returned yet.
 struct PendingCall {
     sequence: u64,
     reply: Option<CounterReply>,
 }
 
-/// Puts the replies for one key into the order of their calls, as the policy engine expects them, though they come over
-/// several connections.
+/// Puts the replies for each key into the order of their calls, which the policy engine expects. Replies may arrive out
+/// of order because calls use several connections.
 #[derive(Default)]
 pub struct ReplySequencer {
     last_sequence: u64,
@@ -191,20 +193,20 @@
         self.last_sequence
     }
 
-    /// Takes a reply; returns those for its key that are due now, in the order of their calls.
+    /// Records a reply. Returns the replies for its key that can now be passed on, in the order of their calls.
     pub fn resolve(&mut self, key: CounterKey, sequence: u64, reply: CounterReply) -> Vec<CounterReply> {
         let Some(calls) = self.pending.get_mut(&key) else { return Vec::new() };
         if let Some(call) = calls.iter_mut().find(|call| call.sequence == sequence) {
             call.reply = Some(reply);
         }
-        let mut due = Vec::new();
+        let mut ready = Vec::new();
         while let Some(reply) = calls.front().and_then(|call| call.reply) {
-            due.push(reply);
+            ready.push(reply);
             calls.pop_front();
         }
         if calls.is_empty() {
             self.pending.remove(&key);
         }
-        due
+        ready
     }
 }
--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: a watch on discovery that never stops.
+//! Watches the endpoint list at discovery by long polling, and retries for ever after failures.
 
 use super::backoff::{Backoff, MAX_CALL_INTERVAL};
 use super::config::{EndpointList, EndpointListError, Upstreams};
@@ -14,34 +14,34 @@
 use tokio::time::{sleep, timeout, Instant};
 use tracing::{info, warn};
 
-/// How long discovery holds a poll until there is a change. With the response timeout behind it, a watch that has
-/// fallen silent is found within 5 s; a change must arrive within 6 s after the watch fell silent.
-const POLL_HOLD: Duration = Duration::from_secs(3);
-/// How long a response may take beyond the time that discovery was asked to hold it.
+/// How long discovery may wait for a change before it answers a poll. Together with [`RESPONSE_TIMEOUT`], a watch that
+/// fell silent is detected within 5 s; a change must arrive within 6 s after that moment.
+const MAX_POLL_WAIT: Duration = Duration::from_secs(3);
+/// How long a response may take in addition to the time that discovery may wait. Also the timeout for connecting.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
-/// The longest delay before the first poll of a discovery that a new configuration names; what it has must arrive
-/// within 4 s after SIGHUP.
-const MAX_DELAY_AFTER_MOVE: Duration = Duration::from_secs(3);
-/// The longest list that is read, about 10,000 entries. Guards memory; a list may come indented, and one of a
-/// large fleet is longer than any other message.
+/// The longest delay before the first poll at a new address of discovery, set by a reload. Its list must arrive within
+/// 4 s after SIGHUP.
+const MAX_DELAY_AFTER_RELOAD: Duration = Duration::from_secs(3);
+/// The longest list that is read, enough for about 10,000 entries. Bounds the memory for a response. The limit is higher
+/// than for other messages, because the list of a large fleet is long and may be indented.
 const MAX_LIST_BYTES: usize = 4 << 20;
 
-/// Why a poll brought no endpoint list.
+/// Why a poll returned no endpoint list.
 #[derive(Debug, thiserror::Error)]
 enum PollError {
-    #[error("the path of the endpoint list is no URI")]
+    #[error("the path of the endpoint list is not a valid URI")]
     InvalidPath,
-    #[error("connect timed out")]
+    #[error("connecting to discovery timed out")]
     ConnectTimeout,
-    #[error("connect failed: {0}")]
+    #[error("connecting to discovery failed: {0}")]
     ConnectFailed(io::Error),
-    #[error("no complete response in time")]
+    #[error("timed out waiting for a complete response")]
     ResponseTimeout,
-    #[error("connection broke before the response was complete")]
-    ConnectionBroken,
-    #[error("response longer than {} MiB", MAX_LIST_BYTES >> 20)]
+    #[error("connection closed before the response was complete")]
+    ConnectionClosed,
+    #[error("response is longer than {} MiB", MAX_LIST_BYTES >> 20)]
     TooLong,
-    #[error("response status {0}")]
+    #[error("expected response status 200, found {0}")]
     Status(StatusCode),
     #[error("response is not JSON: {0}")]
     NotJson(serde_json::Error),
@@ -49,35 +49,42 @@
     NotAnEndpointList(EndpointListError),
 }
 
-/// What a watch on the endpoint list is made from.
+/// The parameters of a watch on the endpoint list.
 pub struct Params {
-    /// Names discovery's address.
+    /// Provides discovery's address, which a reload may change.
     pub upstreams: watch::Receiver<Upstreams>,
-    /// Takes each list and change.
+    /// Receives each list and each change.
     pub driver: DriverSender,
-    /// The delays before a first poll and after one that failed.
+    /// The delays before the first poll and after a failed one.
     pub backoff: Backoff,
-    /// The revision to watch from; without one the complete list is fetched first.
+    /// The revision to watch from. Without one the complete list is fetched first.
     pub known_revision: Option<u64>,
-    /// What the deployment calls the paths and parameters of discovery.
+    /// The deployment's names for the path and parameters of discovery.
     pub names: Rc<Names>,
 }
 
-/// Watches the endpoint list for ever and hands the driver what is new. A watch goes on if its next poll comes within
-/// 200 ms, so only a first poll and one after a failure are delayed.
+/// Watches the endpoint list and forwards lists and changes to the driver, until the driver ends. Discovery continues a
+/// watch whose next poll arrives within 200 ms, so only the first poll and polls after a failure are delayed.
 pub async fn watch(params: Params) {
     let Params { mut upstreams, driver, mut backoff, known_revision, names } = params;
     let address = upstreams.borrow_and_update().discovery;
     let delay = backoff.initial_delay(MAX_CALL_INTERVAL);
     let poller = Poller { address, names, connection: None, revision: known_revision };
-    let mut watcher =
-        Watcher { poller, driver, backoff, delay, began_at: Instant::now(), failing: false, unreadable: 0 };
+    let mut watcher = Watcher {
+        poller,
+        driver,
+        backoff,
+        delay,
+        poll_started_at: Instant::now(),
+        failing: false,
+        unreadable: 0,
+    };
     loop {
         let polled = tokio::select! {
             biased;
-            // Moves at once, though the old address may hold a poll for long.
+            // Switches at once, although the poll at the old address may be pending for seconds.
             Ok(()) = upstreams.changed() => {
-                watcher.move_to(upstreams.borrow_and_update().discovery);
+                watcher.switch_to(upstreams.borrow_and_update().discovery);
                 continue;
             }
             polled = watcher.poll() => polled,
@@ -90,7 +97,7 @@
                     }
                 }
             }
-            Err(error) => watcher.failed(&error),
+            Err(error) => watcher.record_failure(&error),
         }
     }
 }
@@ -100,35 +107,37 @@
     poller: Poller,
     driver: DriverSender,
     backoff: Backoff,
-    /// Before the next poll.
+    /// The delay before the next poll.
     delay: Duration,
-    /// When the last poll began.
-    began_at: Instant,
+    /// When the last poll started.
+    poll_started_at: Instant,
     /// Whether the last poll failed.
     failing: bool,
-    /// The entries of the last list that could not be read.
+    /// The number of unreadable entries in the last list.
     unreadable: usize,
 }
 
 impl Watcher {
     async fn poll(&mut self) -> Result<EndpointList, PollError> {
         sleep(self.delay).await;
-        self.began_at = Instant::now();
+        self.poll_started_at = Instant::now();
         self.poller.poll().await
     }
 
-    /// Polls another address from here on. Its revisions may be numbered anew, so its complete list is fetched.
-    fn move_to(&mut self, address: SocketAddr) {
+    /// Switches to another address of discovery. The revisions there may be numbered differently, so the complete list is
+    /// fetched.
+    fn switch_to(&mut self, address: SocketAddr) {
         if address == self.poller.address {
             return;
         }
         self.poller.address = address;
         self.poller.connection = None;
         self.poller.revision = None;
-        self.delay = self.backoff.initial_delay(MAX_DELAY_AFTER_MOVE);
+        self.delay = self.backoff.initial_delay(MAX_DELAY_AFTER_RELOAD);
     }
 
-    /// Takes a list or changes to it; `None` where they don't follow from what is known.
+    /// Records a list or changes and returns them. Returns `None` if they do not follow the known revision; the complete
+    /// list is fetched next.
     fn accept(&mut self, list: EndpointList) -> Option<EndpointList> {
         if std::mem::take(&mut self.failing) {
             info!(discovery = %self.poller.address, "endpoint list watch recovered");
@@ -139,7 +148,7 @@
                 revision = list.revision,
                 known_revision, "endpoint list does not follow the known one, fetching the complete list"
             );
-            self.delay = self.backoff.retry_delay(self.began_at.elapsed());
+            self.delay = self.backoff.retry_delay(self.poll_started_at.elapsed());
             return None;
         }
         self.backoff.reset();
@@ -149,8 +158,8 @@
         Some(list)
     }
 
-    /// Guards against an outdated list that would undo a drain already known, and against changes to a list that is
-    /// not known. The complete list, once fetched, is what discovery has.
+    /// Returns whether a list can be applied. An older revision is not, because it would undo drains that are already
+    /// known; nor are changes to an unknown list. A complete list that was fetched on purpose is always applied.
     fn follows(&self, list: &EndpointList) -> bool {
         match self.poller.revision {
             Some(known) => list.revision >= known,
@@ -158,24 +167,25 @@
         }
     }
 
-    /// Logs when the number changes: a list that comes often may hold the same odd entry each time.
+    /// Logs the number of unreadable entries when it changes, and not for each list, because frequent lists may contain
+    /// the same unreadable entry every time.
     fn log_unreadable(&mut self, list: &EndpointList) {
         let before = std::mem::replace(&mut self.unreadable, list.unreadable);
         if list.unreadable != before && list.unreadable > 0 {
             warn!(
                 entries = list.unreadable,
                 revision = list.revision,
-                "endpoint list has entries that can't be read, forwarding nothing new to them"
+                "endpoint list has entries that can't be read, sending no new requests to their backends"
             );
         }
     }
 
-    fn failed(&mut self, error: &PollError) {
+    fn record_failure(&mut self, error: &PollError) {
         self.poller.connection = None;
         if !std::mem::replace(&mut self.failing, true) {
-            warn!(discovery = %self.poller.address, %error, "endpoint list watch failed, keeping last list");
+            warn!(discovery = %self.poller.address, %error, "endpoint list watch failed, keeping the last known list");
         }
-        self.delay = self.backoff.retry_delay(self.began_at.elapsed());
+        self.delay = self.backoff.retry_delay(self.poll_started_at.elapsed());
     }
 }
 
@@ -184,22 +194,22 @@
     address: SocketAddr,
     names: Rc<Names>,
     connection: Option<Connection>,
-    /// The revision to poll for changes from; without one the complete list is fetched.
+    /// The revision after which changes are polled. Without one the complete list is fetched.
     revision: Option<u64>,
 }
 
 impl Poller {
     async fn poll(&mut self) -> Result<EndpointList, PollError> {
         let request = self.request()?;
-        let hold = if self.revision.is_some() { POLL_HOLD } else { Duration::ZERO };
+        let wait = if self.revision.is_some() { MAX_POLL_WAIT } else { Duration::ZERO };
         let connection = self.connect().await?;
         let receiving = async {
             let begun = connection.send(request).await?;
             connection.read_body_up_to(begun, MAX_LIST_BYTES).await
         };
-        let received = timeout(hold + RESPONSE_TIMEOUT, receiving).await;
+        let received = timeout(wait + RESPONSE_TIMEOUT, receiving).await;
         let received = received.map_err(|_| PollError::ResponseTimeout)?;
-        let response = match received.map_err(|_| PollError::ConnectionBroken)? {
+        let response = match received.map_err(|_| PollError::ConnectionClosed)? {
             ReceivedResponse::Complete(response) => response,
             ReceivedResponse::Partial(..) => return Err(PollError::TooLong),
         };
@@ -215,7 +225,7 @@
         let path = match self.revision {
             None => path.clone(),
             Some(revision) => {
-                format!("{path}?{after_parameter}={revision}&{wait_parameter}={}", POLL_HOLD.as_millis())
+                format!("{path}?{after_parameter}={revision}&{wait_parameter}={}", MAX_POLL_WAIT.as_millis())
             }
         };
         let mut request = Request::new(RequestBody::empty());
@@ -226,11 +236,11 @@
         Ok(request)
     }
 
-    /// The connection to discovery, opened anew if it can't be used any more.
+    /// Returns the connection to discovery, reopened if it is no longer usable.
     async fn connect(&mut self) -> Result<&mut Connection, PollError> {
-        let mut held = self.connection.take();
-        let usable = held.as_mut().is_some_and(|connection| connection.is_usable());
-        let connection = match held.filter(|_| usable) {
+        let mut existing = self.connection.take();
+        let usable = existing.as_mut().is_some_and(|connection| connection.is_usable());
+        let connection = match existing.filter(|_| usable) {
             Some(connection) => connection,
             None => {
                 let opened = timeout(RESPONSE_TIMEOUT, Connection::open(self.address)).await;
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -1,7 +1,7 @@
-//! Metrics of a running gateway for its operators, in OpenMetrics. Every series is made at the start from what the
-//! configuration names, so that no client can make more of them.
+//! Metrics of a running gateway in the OpenMetrics text format. Every series is created at startup from the names in the
+//! configuration, so that clients can't create more of them.
 //!
-//! Events are counted as they happen; everything else is read from a [`GatewaySnapshot`] when the metrics are asked for.
+//! Events are counted as they happen. Everything else is read from a [`GatewaySnapshot`] when the metrics are requested.
 
 mod counter_calls;
 mod fleet;
@@ -29,30 +29,30 @@
 use requests::RequestMetrics;
 use sampled::{SampledCounters, SampledGauges};
 
-/// What each name begins with.
+/// The prefix of every metric's name.
 const PREFIX: &str = "lanespan";
 
-/// The upper bounds of the buckets of durations, in seconds.
-const DURATION_BUCKETS: [f64; 14] =
+/// The upper bounds of the buckets of duration histograms, in seconds.
+const DURATION_BUCKETS_SECONDS: [f64; 14] =
     [0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0, 10.0, 30.0];
 
-/// What is read when the metrics are asked for.
+/// The state that is read when the metrics are requested.
 pub struct GatewaySnapshot {
     /// The policy engine, the request table and the endpoint list.
     pub state: StateSnapshot,
-    /// The connections to backends.
+    /// The current numbers of connections to backends.
     pub pool: Gauges,
-    /// What was counted of connections to backends since the start.
+    /// The totals of connections to backends since startup.
     pub pool_totals: Counters,
     /// The memory that streams have reserved, in bytes.
     pub stream_reserved_bytes: usize,
-    /// The membership protocol, where this gateway is in a fleet.
+    /// The membership protocol, if this gateway is in a fleet.
     pub fleet: Option<FleetSnapshot>,
-    /// Replication of the fleet document, where this gateway takes part.
+    /// Replication of the fleet document, if this gateway takes part in it.
     pub replication: Option<ReplicationMetrics>,
 }
 
-/// The metrics.
+/// The metrics of a gateway.
 pub struct Metrics {
     registry: Registry,
     state: SampledGauges<StateSnapshot>,
@@ -67,7 +67,7 @@
 }
 
 impl Metrics {
-    /// All series of a gateway without a fleet. They are shown in the order in which they are registered.
+    /// Registers all series of a gateway without a fleet. They are listed in the order of registration.
     pub fn new(site: &Site) -> Metrics {
         let mut registry = Registry::with_prefix(PREFIX);
         Metrics {
@@ -94,27 +94,27 @@
         self.replication = Some(SampledGauges::register(&mut self.registry, &replication::GAUGES));
     }
 
-    /// A request ended, after this time.
+    /// Records the end of a request, and its duration unless the client disconnected.
     pub fn request_ended(&self, class: ClassId, plan: PlanId, result: RequestResult, elapsed: Micros) {
         self.requests.request_ended(class, plan, result, elapsed);
     }
 
-    /// An attempt ended.
+    /// Records the end of an attempt.
     pub fn attempt_ended(&self, outcome: Outcome) {
         self.requests.attempt_ended(outcome);
     }
 
-    /// A call to the counter ended, after this time.
+    /// Records the end of a call to the counter, and its duration.
     pub fn counter_call_ended(&self, outcome: Outcome, elapsed: Micros) {
         self.counter_calls.call_ended(outcome, elapsed);
     }
 
-    /// The circuit breaker before the counter opened or closed.
+    /// Records that the circuit breaker of the counter opened or closed.
     pub fn breaker_changed(&self) {
         self.counter_calls.breaker_changed();
     }
 
-    /// All metrics, as text.
+    /// Returns all metrics in the OpenMetrics text format.
     pub fn text(&self, snapshot: &GatewaySnapshot) -> String {
         self.state.sample(&snapshot.state);
         self.pool.sample(&snapshot.pool);
--- a/crates/gateway/src/metrics/counter_calls.rs
+++ b/crates/gateway/src/metrics/counter_calls.rs
@@ -1,7 +1,7 @@
-//! Calls to the shared counter, and the circuit breaker before it.
+//! Metrics of calls to the shared counter and of its circuit breaker.
 
-use super::labels::{by_outcome, CountersBy, Labels};
-use super::DURATION_BUCKETS;
+use super::labels::{counters_by_outcome, LabeledCounters, Labels};
+use super::DURATION_BUCKETS_SECONDS;
 use lanespan_policy::{Micros, Outcome};
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::family::Family;
@@ -10,7 +10,7 @@
 
 /// The metrics of calls to the counter.
 pub(super) struct CounterCallMetrics {
-    calls: CountersBy<Outcome>,
+    calls: LabeledCounters<Outcome>,
     call_seconds: Histogram,
     breaker_changes: Counter,
 }
@@ -18,22 +18,22 @@
 impl CounterCallMetrics {
     pub(super) fn register(registry: &mut Registry) -> CounterCallMetrics {
         let calls = Family::<Labels, Counter>::default();
-        let call_seconds = Histogram::new(DURATION_BUCKETS);
+        let call_seconds = Histogram::new(DURATION_BUCKETS_SECONDS);
         let breaker_changes = Counter::default();
         registry.register("counter_calls", "Calls to the counter, by their outcome", calls.clone());
         registry.register("counter_call_seconds", "Time of calls to the counter", call_seconds.clone());
         let help = "Times that the breaker before the counter opened or closed";
         registry.register("breaker_changes", help, breaker_changes.clone());
-        CounterCallMetrics { calls: by_outcome(&calls), call_seconds, breaker_changes }
+        CounterCallMetrics { calls: counters_by_outcome(&calls), call_seconds, breaker_changes }
     }
 
-    /// A call ended, after this time.
+    /// Records the end of a call and its duration.
     pub(super) fn call_ended(&self, outcome: Outcome, elapsed: Micros) {
         self.calls.increment(outcome);
         self.call_seconds.observe(elapsed.as_secs_f64());
     }
 
-    /// The breaker opened or closed.
+    /// Records that the breaker opened or closed.
     pub(super) fn breaker_changed(&self) {
         self.breaker_changes.inc();
     }
--- a/crates/gateway/src/metrics/fleet.rs
+++ b/crates/gateway/src/metrics/fleet.rs
@@ -1,4 +1,4 @@
-//! What this gateway believes of its fleet, and what its datagrams came to.
+//! Metrics of this gateway's view of the fleet and of the membership protocol's datagrams.
 
 use super::labels::Labels;
 use super::sampled::{set_total, CounterSpec, GaugeSpec, SampledCounters, SampledGauges};
--- a/crates/gateway/src/metrics/labels.rs
+++ b/crates/gateway/src/metrics/labels.rs
@@ -1,4 +1,4 @@
-//! Families of counters by a label whose values are all known at the start.
+//! Families of counters with a label whose values are all known at startup.
 
 use lanespan_policy::Outcome;
 use prometheus_client::metrics::counter::Counter;
@@ -7,20 +7,20 @@
 /// The labels of one series.
 pub(super) type Labels = Vec<(&'static str, String)>;
 
-/// A counter for each value that a label may have.
-pub(super) struct CountersBy<K> {
+/// One counter for each value of a label.
+pub(super) struct LabeledCounters<K> {
     counters: Vec<(K, Counter)>,
 }
 
-impl<K: Copy + PartialEq> CountersBy<K> {
-    /// Makes a series in `family` for each of `values`.
+impl<K: Copy + PartialEq> LabeledCounters<K> {
+    /// Creates a series in `family` for each of `values`.
     pub(super) fn new(
         family: &Family<Labels, Counter>,
         values: &[K],
         labels: impl Fn(K) -> Labels,
-    ) -> CountersBy<K> {
+    ) -> LabeledCounters<K> {
         let series = |value: &K| (*value, family.get_or_create(&labels(*value)).clone());
-        CountersBy { counters: values.iter().map(series).collect() }
+        LabeledCounters { counters: values.iter().map(series).collect() }
     }
 
     pub(super) fn increment(&self, value: K) {
@@ -44,9 +44,9 @@
     Outcome::ResponseDropped,
 ];
 
-/// A counter for each outcome of an attempt or a call.
-pub(super) fn by_outcome(family: &Family<Labels, Counter>) -> CountersBy<Outcome> {
-    CountersBy::new(family, &OUTCOMES, |outcome| vec![(OUTCOME, outcome_label(outcome).to_string())])
+/// Creates one counter for each outcome of an attempt or a call.
+pub(super) fn counters_by_outcome(family: &Family<Labels, Counter>) -> LabeledCounters<Outcome> {
+    LabeledCounters::new(family, &OUTCOMES, |outcome| vec![(OUTCOME, outcome_label(outcome).to_string())])
 }
 
 fn outcome_label(outcome: Outcome) -> &'static str {
--- a/crates/gateway/src/metrics/pool.rs
+++ b/crates/gateway/src/metrics/pool.rs
@@ -1,4 +1,4 @@
-//! The connections to backends, and the memory of streams.
+//! Metrics of the connections to backends and of the memory of streams.
 
 use super::sampled::{CounterSpec, GaugeSpec};
 use crate::pool::{Counters, Gauges};
@@ -38,7 +38,7 @@
     CounterSpec { name: "pool_denied", help: "Requests that got no connection", read: |pool| pool.denied },
 ];
 
-/// The memory of streams, in bytes.
+/// The gauge of the memory that streams have reserved.
 pub(super) const STREAM_GAUGES: [GaugeSpec<usize>; 1] = [GaugeSpec {
     name: "stream_reserved_bytes",
     help: "What the streams under way may hold",
--- a/crates/gateway/src/metrics/process.rs
+++ b/crates/gateway/src/metrics/process.rs
@@ -1,8 +1,8 @@
-//! The memory and the descriptors of this process.
+//! Metrics of the memory and the open descriptors of this process.
 
 use super::sampled::GaugeSpec;
 
-/// The process at one moment; NaN where the system does not say.
+/// The resource usage of this process. Values that the system does not provide are NaN.
 pub(super) struct ProcessSnapshot {
     memory_bytes: f64,
     descriptors: f64,
@@ -10,7 +10,10 @@
 
 impl ProcessSnapshot {
     pub(super) fn read() -> ProcessSnapshot {
-        ProcessSnapshot { memory_bytes: resident_bytes().unwrap_or(f64::NAN), descriptors: descriptors() }
+        ProcessSnapshot {
+            memory_bytes: resident_bytes().unwrap_or(f64::NAN),
+            descriptors: open_descriptors(),
+        }
     }
 }
 
@@ -34,6 +37,6 @@
     Some(kib * 1024.0)
 }
 
-fn descriptors() -> f64 {
+fn open_descriptors() -> f64 {
     std::fs::read_dir("/proc/self/fd").map_or(f64::NAN, |descriptors| descriptors.count() as f64)
 }
--- a/crates/gateway/src/metrics/replication.rs
+++ b/crates/gateway/src/metrics/replication.rs
@@ -1,4 +1,4 @@
-//! The replicated fleet document, which operators know as the fleet plan.
+//! Metrics of the replicated fleet document, which operators know as the fleet plan.
 
 use super::sampled::{flag, GaugeSpec};
 use crate::replication::ReplicationMetrics;
--- a/crates/gateway/src/metrics/requests.rs
+++ b/crates/gateway/src/metrics/requests.rs
@@ -1,7 +1,7 @@
-//! Requests by what their clients got, the time to their answers, and attempts by their outcome.
+//! Metrics of requests by result, of response times, and of attempts by outcome.
 
-use super::labels::{by_outcome, CountersBy, Labels};
-use super::DURATION_BUCKETS;
+use super::labels::{counters_by_outcome, LabeledCounters, Labels};
+use super::DURATION_BUCKETS_SECONDS;
 use lanespan_policy::{ClassId, Micros, Outcome, PlanId};
 use lanespan_settings::Site;
 use prometheus_client::metrics::counter::Counter;
@@ -17,13 +17,13 @@
 /// How a request ended for its client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestResult {
-    /// With a backend's answer.
+    /// The client got a backend's response.
     Served,
-    /// Rejected, to be retried later.
+    /// The request was rejected and may be retried later.
     Rejected,
-    /// Failed; it may have run.
+    /// The request failed and may have been executed.
     Failed,
-    /// The client disconnected before.
+    /// The client disconnected before it got a response.
     ClientDisconnected,
 }
 
@@ -47,22 +47,22 @@
 
 /// The metrics of one class of requests.
 struct ClassMetrics {
-    /// By plan.
-    requests: Vec<CountersBy<RequestResult>>,
+    /// The counters by result, for each plan.
+    requests: Vec<LabeledCounters<RequestResult>>,
     answer_seconds: Histogram,
 }
 
 /// The metrics of requests and their attempts.
 pub(super) struct RequestMetrics {
     classes: Vec<ClassMetrics>,
-    attempts: CountersBy<Outcome>,
+    attempts: LabeledCounters<Outcome>,
 }
 
 impl RequestMetrics {
     pub(super) fn register(registry: &mut Registry, site: &Site) -> RequestMetrics {
         let requests = Family::<Labels, Counter>::default();
         let answer_seconds =
-            Family::<Labels, Histogram>::new_with_constructor(|| Histogram::new(DURATION_BUCKETS));
+            Family::<Labels, Histogram>::new_with_constructor(|| Histogram::new(DURATION_BUCKETS_SECONDS));
         let attempts = Family::<Labels, Counter>::default();
         let help = "Requests, by class, plan and what their clients got";
         registry.register("requests", help, requests.clone());
@@ -71,16 +71,16 @@
 
         let plans = names_by_id(&site.plans);
         let class_metrics = |class: &str| ClassMetrics {
-            requests: plans.iter().map(|plan| by_result(&requests, class, plan)).collect(),
+            requests: plans.iter().map(|plan| counters_by_result(&requests, class, plan)).collect(),
             answer_seconds: answer_seconds.get_or_create(&vec![(CLASS, class.to_string())]).clone(),
         };
         RequestMetrics {
             classes: names_by_id(&site.classes).into_iter().map(class_metrics).collect(),
-            attempts: by_outcome(&attempts),
+            attempts: counters_by_outcome(&attempts),
         }
     }
 
-    /// A request ended, after this time.
+    /// Records the end of a request, and its duration unless the client disconnected.
     pub(super) fn request_ended(&self, class: ClassId, plan: PlanId, result: RequestResult, elapsed: Micros) {
         let Some(class) = self.classes.get(class.0) else { return };
         if let Some(requests) = class.requests.get(plan.0) {
@@ -91,19 +91,23 @@
         }
     }
 
-    /// An attempt ended.
+    /// Records the end of an attempt.
     pub(super) fn attempt_ended(&self, outcome: Outcome) {
         self.attempts.increment(outcome);
     }
 }
 
-fn by_result(family: &Family<Labels, Counter>, class: &str, plan: &str) -> CountersBy<RequestResult> {
-    CountersBy::new(family, &RequestResult::ALL, |result| {
+fn counters_by_result(
+    family: &Family<Labels, Counter>,
+    class: &str,
+    plan: &str,
+) -> LabeledCounters<RequestResult> {
+    LabeledCounters::new(family, &RequestResult::ALL, |result| {
         vec![(CLASS, class.to_string()), (PLAN, plan.to_string()), (RESULT, result.label().to_string())]
     })
 }
 
-/// The names in the order of their ids.
+/// Returns the names in the order of their ids.
 fn names_by_id(ids: &HashMap<String, usize>) -> Vec<&str> {
     let mut names: Vec<_> = ids.iter().map(|(name, id)| (*id, name.as_str())).collect();
     names.sort_unstable();
--- a/crates/gateway/src/metrics/sampled.rs
+++ b/crates/gateway/src/metrics/sampled.rs
@@ -1,25 +1,25 @@
-//! Series whose values are read from a snapshot when the metrics are asked for.
+//! Metrics whose values are read from a snapshot when the metrics are requested.
 
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::gauge::Gauge;
 use prometheus_client::registry::Registry;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 
-/// A gauge, and how it is read from a snapshot of type `S`.
+/// A gauge and the function that reads its value from a snapshot of type `S`.
 pub(super) struct GaugeSpec<S> {
     pub(super) name: &'static str,
     pub(super) help: &'static str,
     pub(super) read: fn(&S) -> f64,
 }
 
-/// A counter, and how its total is read from a snapshot of type `S`.
+/// A counter and the function that reads its total from a snapshot of type `S`.
 pub(super) struct CounterSpec<S> {
     pub(super) name: &'static str,
     pub(super) help: &'static str,
     pub(super) read: fn(&S) -> u64,
 }
 
-/// Gauges that are read from one snapshot.
+/// Registered gauges that are read from one type of snapshot.
 pub(super) struct SampledGauges<S: 'static> {
     gauges: Vec<(Gauge<f64, AtomicU64>, &'static GaugeSpec<S>)>,
 }
@@ -41,7 +41,7 @@
     }
 }
 
-/// Counters whose totals are read from one snapshot.
+/// Registered counters whose totals are read from one type of snapshot.
 pub(super) struct SampledCounters<S: 'static> {
     counters: Vec<(Counter, &'static CounterSpec<S>)>,
 }
@@ -63,12 +63,12 @@
     }
 }
 
-/// Sets a counter to a total that is counted elsewhere.
+/// Sets a counter to a total that is maintained elsewhere.
 pub(super) fn set_total(counter: &Counter, total: u64) {
     counter.inner().store(total, Relaxed);
 }
 
-/// A truth value as a gauge.
+/// Converts a boolean to a gauge value of 0 or 1.
 pub(super) fn flag(value: bool) -> f64 {
     f64::from(u8::from(value))
 }
--- a/crates/gateway/src/metrics/state.rs
+++ b/crates/gateway/src/metrics/state.rs
@@ -1,25 +1,25 @@
-//! The state of the policy engine, the request table and the endpoint list.
+//! Metrics of the policy engine, the request table and the endpoint list.
 
 use super::sampled::{flag, GaugeSpec};
 use lanespan_policy::EngineSnapshot;
 use std::time::Duration;
 
-/// The state at one moment.
+/// A snapshot of the gateway's state.
 pub struct StateSnapshot {
-    /// Whether there is an endpoint list.
+    /// Whether an endpoint list is known.
     pub ready: bool,
-    /// The policy engine.
+    /// The state of the policy engine.
     pub engine: EngineSnapshot,
-    /// Requests in the request table.
+    /// The number of requests in the request table.
     pub open_requests: usize,
-    /// Backends in service.
+    /// The number of backends in service.
     pub backends: usize,
-    /// How long ago discovery last sent the endpoint list or changes to it.
+    /// The time since discovery last sent the endpoint list or changes to it.
     pub endpoint_list_age: Option<Duration>,
 }
 
 impl StateSnapshot {
-    /// The age of the endpoint list in seconds.
+    /// Returns the age of the endpoint list in seconds.
     pub fn endpoint_list_age_seconds(&self) -> Option<f64> {
         self.endpoint_list_age.map(|age| age.as_secs_f64())
     }
--- a/crates/gateway/tests/counter.rs
+++ b/crates/gateway/tests/counter.rs
@@ -1,6 +1,6 @@
-//! The calls to the shared counter, on loopback sockets.
+//! Tests of the client of the shared counter, over loopback sockets.
 #[path = "../../lanespan/tests/sockets/stubs.rs"]
-mod world;
+mod stubs;
 
 use lanespan_gateway::counter::{Counter, CounterReply, Params, ReplySequencer};
 use lanespan_gateway::names::Names;
@@ -8,13 +8,13 @@
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
-use world::{http, on_runtime, Reply, Stub};
+use stubs::{http, on_runtime, Reply, Stub};
 
-const TIMEOUT: Duration = Duration::from_millis(80);
+const SHORT_TIMEOUT: Duration = Duration::from_millis(80);
 
-const LONG: Duration = Duration::from_secs(5);
+const LONG_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A client of a counter that goes by the protocol's own names.
+/// Creates a client of a counter that uses the protocol's names.
 fn client(address: SocketAddr, timeout: Duration, max_connections: usize) -> Counter {
     Counter::new(address, Params { timeout, max_connections, names: Names::default().counter })
 }
@@ -24,19 +24,20 @@
 }
 
 #[test]
-fn a_call_is_written_as_the_counter_reads_it() {
+fn a_call_has_the_path_and_parameters_of_the_protocol() {
     let stub = Stub::start(|_| http("200 OK", "38.5\n"));
-    let counter = client(stub.address, LONG, 2);
-    let counted = on_runtime(add(&counter, 9041552));
-    assert_eq!(counted, CounterReply { outcome: Outcome::Success, total: 38.5 });
+    let counter = client(stub.address, LONG_TIMEOUT, 2);
+    let reply = on_runtime(add(&counter, 9041552));
+    assert_eq!(reply, CounterReply { outcome: Outcome::Success, total: 38.5 });
     assert_eq!(stub.requests()[0].line, "POST /v1/count/9041552?add=-2.5&ttl_ms=4000 HTTP/1.1");
 }
 
 #[test]
-fn each_fault_has_its_own_outcome_and_no_call_is_made_twice() {
-    let gone = std::net::TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a port");
-    let refused = client(gone, LONG, 2);
-    assert_eq!(on_runtime(add(&refused, 1)).outcome, Outcome::ConnectFailed);
+fn each_failure_has_its_outcome_and_no_call_is_made_twice() {
+    let closed_port =
+        std::net::TcpListener::bind("127.0.0.1:0").and_then(|listener| listener.local_addr()).expect("bind");
+    let unreachable = client(closed_port, LONG_TIMEOUT, 2);
+    assert_eq!(on_runtime(add(&unreachable, 1)).outcome, Outcome::ConnectFailed);
     let cases: [(fn() -> Reply, Outcome); 5] = [
         (|| http("503 Full", ""), Outcome::Rejected),
         (|| http("404 Nothing", ""), Outcome::NotSent),
@@ -46,7 +47,7 @@
     ];
     for (reply, outcome) in cases {
         let stub = Stub::start(move |_| reply());
-        let timeout = if outcome == Outcome::Timeout { TIMEOUT } else { LONG };
+        let timeout = if outcome == Outcome::Timeout { SHORT_TIMEOUT } else { LONG_TIMEOUT };
         let counter = client(stub.address, timeout, 2);
         assert_eq!(on_runtime(add(&counter, 1)).outcome, outcome);
         assert_eq!(stub.requests().len(), 1, "{outcome:?}");
@@ -54,16 +55,16 @@
 }
 
 #[test]
-fn a_late_reply_meets_no_later_call_and_blocks_none() {
-    let asked = AtomicUsize::new(0);
-    let stub = Stub::start(move |_| match asked.fetch_add(1, Ordering::SeqCst) {
+fn a_late_reply_is_not_taken_for_a_later_call_and_blocks_none() {
+    let calls = AtomicUsize::new(0);
+    let stub = Stub::start(move |_| match calls.fetch_add(1, Ordering::SeqCst) {
         0 => {
-            std::thread::sleep(TIMEOUT * 3);
+            std::thread::sleep(SHORT_TIMEOUT * 3);
             http("200 OK", "1000")
         }
         _ => http("200 OK", "2"),
     });
-    let counter = client(stub.address, TIMEOUT, 2);
+    let counter = client(stub.address, SHORT_TIMEOUT, 2);
     on_runtime(async {
         assert_eq!(add(&counter, 1).await.outcome, Outcome::Timeout);
         for _ in 0..4 {
@@ -73,9 +74,9 @@
 }
 
 #[test]
-fn a_call_that_found_no_free_connection_was_never_made() {
+fn a_call_that_gets_no_free_connection_is_not_sent() {
     let stub = Stub::start(|_| Reply::Silence);
-    let counter = client(stub.address, TIMEOUT, 1);
+    let counter = client(stub.address, SHORT_TIMEOUT, 1);
     on_runtime(async {
         let (first, second) = tokio::join!(add(&counter, 1), add(&counter, 2));
         assert_eq!((first.outcome, second.outcome), (Outcome::Timeout, Outcome::ConnectFailed));
@@ -83,15 +84,15 @@
 }
 
 #[test]
-fn replies_for_one_key_come_in_the_order_of_their_calls() {
-    let told = |total| CounterReply { outcome: Outcome::Success, total };
-    let mut replies = ReplySequencer::default();
+fn replies_for_one_key_are_returned_in_the_order_of_their_calls() {
+    let success = |total| CounterReply { outcome: Outcome::Success, total };
+    let mut sequencer = ReplySequencer::default();
     let (a, b) = (CounterKey(1), CounterKey(2));
-    let (first, second, other) = (replies.register(a), replies.register(a), replies.register(b));
-    assert_eq!(replies.resolve(a, second, told(2.0)), []);
-    assert_eq!(replies.resolve(b, other, told(9.0)), [told(9.0)], "other names do not wait");
-    assert_eq!(replies.resolve(a, first, told(1.0)), [told(1.0), told(2.0)]);
-    assert_eq!(replies.resolve(a, first, told(1.0)), [], "each is told once");
+    let (first, second, other) = (sequencer.register(a), sequencer.register(a), sequencer.register(b));
+    assert_eq!(sequencer.resolve(a, second, success(2.0)), []);
+    assert_eq!(sequencer.resolve(b, other, success(9.0)), [success(9.0)], "other keys do not wait");
+    assert_eq!(sequencer.resolve(a, first, success(1.0)), [success(1.0), success(2.0)]);
+    assert_eq!(sequencer.resolve(a, first, success(1.0)), [], "each reply is returned once");
 }
 
 #[test]
@@ -100,7 +101,7 @@
         0 => http("200 OK", "plenty"),
         _ => http("200 OK", "7"),
     });
-    let counter = client(stub.address, LONG, 2);
+    let counter = client(stub.address, LONG_TIMEOUT, 2);
     on_runtime(async {
         assert_eq!(add(&counter, 1).await.outcome, Outcome::ServerError);
         assert_eq!(add(&counter, 1).await, CounterReply { outcome: Outcome::Success, total: 7.0 });
--- a/crates/settings/src/fields.rs
+++ b/crates/settings/src/fields.rs
@@ -1,40 +1,40 @@
-//! Named values, and reading them as numbers, spans and flags.
+//! Named text values, and their conversion to numbers, durations and booleans.
 
 use lanespan_policy::Micros;
 use std::collections::HashMap;
 use std::str::FromStr;
 
-/// Why named values can't be read.
+/// Why a named value can't be read.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum FieldError {
-    /// A part of a line is no pair of name and value.
+    /// A part of a line is not a pair of name and value.
     #[error("{place}: expected name=value, found '{part}'")]
     NotAPair {
-        /// The line.
+        /// The line that holds the part.
         place: String,
-        /// The part.
+        /// The part that has no `=`.
         part: String,
     },
-    /// A value is missing, or is not what was expected.
-    #[error("{place}: {name}: expected {expected}, found {}", shown(.found))]
+    /// A value is missing or invalid.
+    #[error("{place}: {name}: expected {expected}, found {}", describe_found(.found))]
     Unexpected {
-        /// The line, or another place.
+        /// The line or configuration section that should hold the value.
         place: String,
         /// The name of the value.
         name: String,
-        /// What was expected.
+        /// A description of the valid values.
         expected: String,
-        /// The value; `None`: there is none.
+        /// The value, or `None` if it is missing.
         found: Option<String>,
     },
 }
 
-fn shown(found: &Option<String>) -> String {
+fn describe_found(found: &Option<String>) -> String {
     found.as_ref().map_or("nothing".to_string(), |value| format!("'{value}'"))
 }
 
 impl FieldError {
-    /// The name of the value that is wrong.
+    /// Returns the name of the invalid or missing value.
     pub fn field(&self) -> Option<&str> {
         match self {
             FieldError::NotAPair { .. } => None,
@@ -43,18 +43,18 @@
     }
 }
 
-/// Named values, and where they stood.
+/// Named values from one source.
 pub struct Fields<'a> {
-    /// Where the values stood, for errors: `line 3: START`, or another place.
+    /// The source of the values, as shown in errors: `line 3: START` or a configuration section.
     pub place: String,
-    /// What kind of message holds them.
+    /// The type of the message that holds the values.
     pub message_type: &'a str,
     /// The values as text, by their names.
     pub pairs: HashMap<&'a str, &'a str>,
 }
 
 impl<'a> Fields<'a> {
-    /// Reads a line of the simulator's wire: the kind of message, then `name=value` for each value.
+    /// Parses a line of the simulator's protocol: the type of the message, then `name=value` for each value.
     pub fn parse(line_number: u64, line: &'a str) -> Result<Fields<'a>, FieldError> {
         let mut parts = line.split(' ');
         let message_type = parts.next().unwrap_or("");
@@ -69,7 +69,7 @@
         Ok(Fields { place, message_type, pairs })
     }
 
-    /// The error of a value that is not what was expected.
+    /// Returns the error for a missing or invalid value.
     pub fn unexpected(&self, name: &str, expected: &str) -> FieldError {
         FieldError::Unexpected {
             place: self.place.clone(),
@@ -79,7 +79,7 @@
         }
     }
 
-    /// A value that may be absent.
+    /// Reads an optional value.
     pub fn optional<T: FromStr>(&self, name: &str, expected: &str) -> Result<Option<T>, FieldError> {
         match self.pairs.get(name) {
             None => Ok(None),
@@ -87,24 +87,24 @@
         }
     }
 
-    /// A whole number that must be there.
+    /// Reads a required integer.
     pub fn required_u64(&self, name: &str) -> Result<u64, FieldError> {
         const EXPECTED: &str = "a whole number";
         self.optional(name, EXPECTED)?.ok_or_else(|| self.unexpected(name, EXPECTED))
     }
 
-    /// A whole number, or a default.
+    /// Reads an integer, or returns the default if it is missing.
     pub fn u64_or(&self, name: &str, default: u64) -> Result<u64, FieldError> {
         Ok(self.optional(name, "a whole number")?.unwrap_or(default))
     }
 
-    /// A whole number of 32 bits that must be there.
+    /// Reads a required integer of 32 bits.
     pub fn required_u32(&self, name: &str) -> Result<u32, FieldError> {
-        const EXPECTED: &str = "a small whole number";
+        const EXPECTED: &str = "a whole number below 2^32";
         self.optional(name, EXPECTED)?.ok_or_else(|| self.unexpected(name, EXPECTED))
     }
 
-    /// A finite number, or a default.
+    /// Reads a finite number, or returns the default if it is missing.
     pub fn f64_or(&self, name: &str, default: f64) -> Result<f64, FieldError> {
         match self.optional::<f64>(name, "a number")? {
             Some(value) if !value.is_finite() => Err(self.unexpected(name, "a finite number")),
@@ -112,12 +112,12 @@
         }
     }
 
-    /// A span in microseconds, or a default.
+    /// Reads a duration in microseconds, or returns the default if it is missing.
     pub fn micros_or(&self, name: &str, default: u64) -> Result<Micros, FieldError> {
         self.u64_or(name, default).map(Micros)
     }
 
-    /// True or false, or a default.
+    /// Reads a boolean, or returns the default if it is missing.
     pub fn bool_or(&self, name: &str, default: bool) -> Result<bool, FieldError> {
         match self.pairs.get(name) {
             None => Ok(default),
@@ -127,8 +127,8 @@
         }
     }
 
-    /// A text that must be there.
+    /// Reads a required string.
     pub fn required_str(&self, name: &str) -> Result<&'a str, FieldError> {
-        self.pairs.get(name).copied().ok_or_else(|| self.unexpected(name, "a text"))
+        self.pairs.get(name).copied().ok_or_else(|| self.unexpected(name, "a string"))
     }
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,7 +1,7 @@
-//! The settings of a site. The simulator's adapter and the real gateway both read them here, by their dotted names: the
-//! one finds them on a line of its wire, the other flattens its JSON to the same form.
+//! Reads the settings of a site from values with dotted names. The simulator's adapter gets these from a line of the
+//! simulator's protocol; the gateway flattens its JSON configuration to them.
 //!
-//! This is the one place where the platform's names for settings become the terms of the policy crate.
+//! Only this crate translates the platform's names of settings into the terms of the policy crate.
 
 mod fields;
 mod flatten;
--- a/crates/settings/src/site.rs
+++ b/crates/settings/src/site.rs
@@ -1,4 +1,4 @@
-//! A site: its settings, and the names by which the outside knows classes, plans, zones and backends.
+//! The settings of a site, and the external names of its classes, plans, zones and backends.
 
 use crate::{FieldError, Fields};
 use lanespan_policy::{
@@ -6,24 +6,24 @@
 };
 use std::collections::HashMap;
 
-/// The most classes or plans.
-const MAX_LISTED: u64 = 10_000;
+/// The maximum number of classes or plans.
+const MAX_LIST_ITEMS: u64 = 10_000;
 
-/// The settings with the names by which the outside knows classes, plans, zones and backends.
+/// The settings of a site, with the external names of its classes, plans, zones and backends.
 pub struct Site {
     /// The settings of the policy engine.
     pub settings: Settings,
-    /// The indexes of the classes, by their names.
+    /// The indexes of the classes by name.
     pub classes: HashMap<String, usize>,
-    /// The indexes of the quota plans, by their names.
+    /// The indexes of the quota plans by name.
     pub plans: HashMap<String, usize>,
-    /// The names of the backends that were seen, by their ids.
+    /// The names of the backends seen so far, by id.
     pub backends: HashMap<BackendId, String>,
     zones: HashMap<String, u32>,
 }
 
 impl Site {
-    /// Reads a site's settings.
+    /// Reads the settings of a site.
     pub fn read(fields: &Fields) -> Result<Site, FieldError> {
         let (classes, request_classes) = read_list(fields, "classes", read_class)?;
         let (plans, quota_plans) = read_list(fields, "plans", read_plan)?;
@@ -36,8 +36,8 @@
         Ok(Site { settings, classes, plans, backends: HashMap::new(), zones })
     }
 
-    /// The id of a backend's name: the FNV-1a hash, so that it is the same at every gateway, or the next free one on a
-    /// collision.
+    /// Returns the id for the name of a backend: its FNV-1a hash, so that all gateways use the same id, or the next free
+    /// id on a collision.
     pub fn backend_id(&mut self, name: &str) -> BackendId {
         let mut id = BackendId(fnv1a(name));
         while self.backends.get(&id).is_some_and(|known| known != name) {
@@ -47,7 +47,7 @@
         id
     }
 
-    /// The id of a zone; a new name gets the next one.
+    /// Returns the id for the name of a zone. A new name gets the next unused id.
     pub fn zone_id(&mut self, name: &str) -> ZoneId {
         zone_id(&mut self.zones, name)
     }
@@ -64,10 +64,10 @@
     ZoneId(*zones.entry(name.to_string()).or_insert(next))
 }
 
-/// Reads one item of a list of settings, by a function that gives its keys.
+/// Reads one item of a list of settings. The second argument maps the name of a field to its dotted name.
 type ReadItem<T> = fn(&Fields, &dyn Fn(&str) -> String) -> Result<T, FieldError>;
 
-/// Reads a list of settings; the items, and their indexes by name.
+/// Reads a list of settings. Returns the indexes of the items by name, and the items.
 fn read_list<T>(
     fields: &Fields,
     list: &str,
@@ -75,7 +75,7 @@
 ) -> Result<(HashMap<String, usize>, Vec<T>), FieldError> {
     let count_key = format!("{list}.count");
     let count = fields.u64_or(&count_key, 0)?;
-    if count > MAX_LISTED {
+    if count > MAX_LIST_ITEMS {
         return Err(fields.unexpected(&count_key, "at most 10000"));
     }
     let mut names = HashMap::new();
@@ -121,17 +121,17 @@
 }
 
 fn read_plan(fields: &Fields, key: &dyn Fn(&str) -> String) -> Result<QuotaPlan, FieldError> {
-    let real = |name: &str, default| fields.f64_or(&key(name), default);
+    let number = |name: &str, default| fields.f64_or(&key(name), default);
     Ok(QuotaPlan {
-        rate: real("per_second", 0.0)?,
-        burst: real("peak_units", 0.0)?,
-        max_concurrent: real("open", 0.0)?,
-        weight_multiplier: real("price", 1.0)?,
-        over_quota_value: real("extra_worth", 0.0)?,
-        over_quota_cost: real("excess_cost", 0.0)?,
-        ceiling_rate: real("ceiling_rate", 0.0)?,
-        ceiling_burst: real("cap_depth", 0.0)?,
-        ceiling_slack: real("tolerance", 0.0)?,
+        rate: number("per_second", 0.0)?,
+        burst: number("peak_units", 0.0)?,
+        max_concurrent: number("open", 0.0)?,
+        weight_multiplier: number("price", 1.0)?,
+        over_quota_value: number("extra_worth", 0.0)?,
+        over_quota_cost: number("excess_cost", 0.0)?,
+        ceiling_rate: number("ceiling_rate", 0.0)?,
+        ceiling_burst: number("cap_depth", 0.0)?,
+        ceiling_slack: number("tolerance", 0.0)?,
     })
 }
 
@@ -141,12 +141,12 @@
     classes: Vec<RequestClass>,
     plans: Vec<QuotaPlan>,
 ) -> Result<Settings, FieldError> {
-    let small_or = |name: &str, default| -> Result<u32, FieldError> {
+    let u32_or = |name: &str, default| -> Result<u32, FieldError> {
         Ok(u32::try_from(fields.u64_or(name, default)?).unwrap_or(u32::MAX))
     };
     Ok(Settings {
-        gateway_count: small_or("balancers", 1)?,
-        gateway_index: small_or("my_number", 0)?,
+        gateway_count: u32_or("balancers", 1)?,
+        gateway_index: u32_or("my_number", 0)?,
         zone,
         classes,
         plans,
