--- a/crates/gateway/src/config/build.rs
+++ b/crates/gateway/src/config/build.rs
@@ -13,7 +13,7 @@
 use serde_json::Value;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
-/// Memory above this is ignored.
+/// At most this much memory is used for planning, even if limits.memory_mb is higher.
 const MAX_MEMORY_BYTES: usize = 1 << 32;
 const BYTES_PER_MEBIBYTE: usize = 1 << 20;
 /// Placeholder for a missing address. Its absence is reported as a problem, so it never becomes part of a configuration.
@@ -103,7 +103,7 @@
     })
 }
 
-/// Returns the memory of the machine that the gateway may plan with, in bytes.
+/// Returns the memory of the machine, up to [`MAX_MEMORY_BYTES`].
 fn usable_memory(limits: &Limits) -> usize {
     limits.memory_mb.get().saturating_mul(BYTES_PER_MEBIBYTE).min(MAX_MEMORY_BYTES)
 }
--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -1,4 +1,4 @@
-//! Watches the endpoint list at discovery by long polling, and retries for ever after failures.
+//! Watches the endpoint list at discovery by long polling, and retries indefinitely after failures.
 
 use super::backoff::{Backoff, MAX_CALL_INTERVAL};
 use super::config::{EndpointList, EndpointListError, Upstreams};
