--- a/crates/lab/src/defective_gateway.rs
+++ b/crates/lab/src/defective_gateway.rs
@@ -67,7 +67,7 @@
     let (leaked, requests_served) = Default::default();
     let gateway = Rc::new(DefectiveGateway { defect, discovery, initial_backends, leaked, requests_served });
     eprintln!("joining the fleet listen={}", membership.local_addr()?);
-    eprintln!("the operators' door is open address={}", admin.local_addr()?);
+    eprintln!("admin interface open address={}", admin.local_addr()?);
     eprintln!("listening address={}", listener.local_addr()?);
     let mut terminate = signal(SignalKind::terminate())?;
     loop {
