--- a/crates/lanespan/tests/sockets/harness.rs
+++ b/crates/lanespan/tests/sockets/harness.rs
@@ -1,5 +1,5 @@
-//! A gateway under test as a process of its own, and its clients.
-#![allow(dead_code, reason = "each program that shares this file uses a part of it")]
+//! Starts gateways under test as child processes and connects clients to them.
+#![allow(dead_code, reason = "each test binary that includes this file uses only some of its items")]
 
 #[path = "stubs.rs"]
 mod stubs;
@@ -14,14 +14,16 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A running gateway; killed when the test is over.
+/// A running gateway process. Dropping it kills the process.
 pub struct Node {
     pub child: Child,
+    /// The first address in the log: the admin interface where there is one, else the request listener.
     pub address: SocketAddr,
     startup_log: String,
     log: Arc<(Mutex<Vec<String>>, Condvar)>,
 }
 
+/// Returns a configuration for a gateway with this discovery and counter, as JSON.
 pub fn config(discovery: SocketAddr, counter: SocketAddr) -> String {
     format!(
         r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"{discovery}","seed":"8c1f30d27a5be964",
@@ -29,41 +31,41 @@
     )
 }
 
-/// A file of its own with this configuration.
+/// Writes this configuration to a new file and returns its path.
 pub fn config_file(config: &str) -> PathBuf {
     use std::sync::atomic::{AtomicUsize, Ordering};
     static NEXT: AtomicUsize = AtomicUsize::new(0);
     let name = format!("config-{}-{}.json", std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
-    std::fs::write(&path, config).expect("written");
+    std::fs::write(&path, config).expect("the file is written");
     path
 }
 
-/// The program, told to read this configuration as the platform's.
+/// Returns a `run` command that reads this configuration as the platform's, through `NODE_CONFIG`.
 pub fn platform_command(config: &str) -> Command {
     platform_command_from(&config_file(config))
 }
 
-/// The program, told to read this file as the platform's.
+/// Like [`platform_command`], for an existing file.
 pub fn platform_command_from(path: &Path) -> Command {
     let mut command = run_command();
     command.env("NODE_CONFIG", path);
     command
 }
 
-/// The program, told to read this configuration as an operator's.
+/// Returns a `run` command that reads this configuration as an operator's, through `--config`.
 pub fn operator_command(config: &str) -> Command {
     operator_command_from(&config_file(config))
 }
 
-/// The program, told to read this file as an operator's.
+/// Like [`operator_command`], for an existing file.
 pub fn operator_command_from(path: &Path) -> Command {
     let mut command = run_command();
     command.arg("--config").arg(path);
     command
 }
 
-/// The program as it runs, told nothing by the environment.
+/// Returns a `run` command without the configuration variables of the environment.
 fn run_command() -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_lanespan"));
     command.arg("run").stderr(Stdio::piped());
@@ -76,15 +78,16 @@
 }
 
 impl Node {
+    /// Starts the process and waits until its log names an address.
     pub fn spawn(mut command: Command) -> Node {
-        let mut child = command.spawn().expect("it starts");
-        let mut log = BufReader::new(child.stderr.take().expect("piped"));
+        let mut child = command.spawn().expect("the gateway starts");
+        let mut log = BufReader::new(child.stderr.take().expect("stderr is piped"));
         let mut startup_log = String::new();
         let address = loop {
             let mut line = String::new();
             assert!(
-                log.read_line(&mut line).expect("text") > 0,
-                "it ended before it listened: {startup_log}"
+                log.read_line(&mut line).expect("UTF-8 text") > 0,
+                "the gateway ended before it listened: {startup_log}"
             );
             startup_log.push_str(&line);
             if let Some(address) = line.split("address=").nth(1) {
@@ -92,69 +95,71 @@
                 break address.trim().parse().expect("an address");
             }
         };
-        // Its log must not fill the pipe.
+        // Keeps reading the log: a full pipe would block the gateway.
         let lines = Arc::<(Mutex<Vec<String>>, Condvar)>::default();
         let shared_lines = lines.clone();
         thread::spawn(move || {
             for line in log.lines().map_while(Result::ok) {
-                shared_lines.0.lock().expect("whole").push(line);
+                shared_lines.0.lock().expect("unpoisoned lock").push(line);
                 shared_lines.1.notify_all();
             }
         });
         Node { child, address, startup_log, log: lines }
     }
-    /// Waits for a line of its log with this in it.
+    /// Waits for a log line that contains `part` and returns the line.
     pub fn wait_for_line(&self, part: &str) -> String {
         let found = |lines: &[String]| lines.iter().find(|line| line.contains(part)).cloned();
-        let lines = self.log.0.lock().expect("whole");
+        let lines = self.log.0.lock().expect("unpoisoned lock");
         let lines = self.log.1.wait_timeout_while(lines, TEST_TIMEOUT, |lines| found(lines).is_none());
-        found(&lines.expect("whole").0).unwrap_or_else(|| panic!("waited in vain for a line with '{part}'"))
+        found(&lines.expect("unpoisoned lock").0)
+            .unwrap_or_else(|| panic!("timed out waiting for a log line with '{part}'"))
     }
-    /// Its log up to the first line that names an address.
+    /// Returns the log up to and including the first line that names an address.
     pub fn startup_log(&self) -> &str {
         &self.startup_log
     }
-    /// Asks again until this holds.
+    /// Polls until `holds` returns true.
     pub fn wait_until(&self, what: &str, holds: impl Fn() -> bool) {
         let until = Instant::now() + TEST_TIMEOUT;
         while !holds() {
-            assert!(Instant::now() < until, "waited in vain for {what}");
+            assert!(Instant::now() < until, "timed out waiting for {what}");
             thread::sleep(Duration::from_millis(2));
         }
     }
-    /// Its log since then.
+    /// Returns the log lines after [`Node::startup_log`].
     pub fn later_log_lines(&self) -> Vec<String> {
-        self.log.0.lock().expect("whole").clone()
+        self.log.0.lock().expect("unpoisoned lock").clone()
     }
-    /// A gateway with these round it, ready.
+    /// Starts a gateway with this discovery and counter and waits until it is ready.
     pub fn start(discovery: &Discovery, counter: &Stub) -> Node {
         let node = Node::spawn(platform_command(&config(discovery.stub.address, counter.address)));
         node.wait_ready();
         node
     }
+    /// Polls the health endpoint until it answers 200.
     pub fn wait_ready(&self) {
         let until = Instant::now() + TEST_TIMEOUT;
         while self.client().exchange("GET /_health HTTP/1.1\r\nHost: h\r\n\r\n").status() != 200 {
-            assert!(Instant::now() < until, "never ready");
+            assert!(Instant::now() < until, "the gateway did not become ready");
             thread::sleep(Duration::from_millis(5));
         }
     }
     pub fn client(&self) -> Client {
         Client::connect(self.address)
     }
-    /// Sends it a signal, such as TERM.
+    /// Sends a signal to the process, such as `TERM`.
     pub fn signal(&self, name: &str) {
         let sent = Command::new("kill").args([&format!("-{name}"), &self.child.id().to_string()]).status();
-        assert!(sent.expect("kill runs").success());
+        assert!(sent.expect("the kill command runs").success());
     }
-    /// Waits for the end and returns the exit code.
+    /// Waits for the process to exit and returns its exit code.
     pub fn wait_for_exit(&mut self) -> Option<i32> {
         let until = Instant::now() + TEST_TIMEOUT;
         loop {
-            if let Some(status) = self.child.try_wait().expect("a child") {
+            if let Some(status) = self.child.try_wait().expect("the child can be waited for") {
                 return status.code();
             }
-            assert!(Instant::now() < until, "it did not end");
+            assert!(Instant::now() < until, "the gateway did not exit");
             thread::sleep(Duration::from_millis(5));
         }
     }
@@ -167,6 +172,7 @@
     }
 }
 
+/// An HTTP/1.1 client connection that sends requests verbatim.
 pub struct Client {
     stream: TcpStream,
     reader: BufReader<TcpStream>,
@@ -174,38 +180,39 @@
 
 impl Client {
     pub fn connect(address: SocketAddr) -> Client {
-        let stream = TcpStream::connect(address).expect("it listens");
-        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a socket");
-        stream.set_write_timeout(Some(TEST_TIMEOUT)).expect("a socket");
-        Client { reader: BufReader::new(stream.try_clone().expect("a socket")), stream }
+        let stream = TcpStream::connect(address).expect("the server listens");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("an open socket");
+        stream.set_write_timeout(Some(TEST_TIMEOUT)).expect("an open socket");
+        Client { reader: BufReader::new(stream.try_clone().expect("an open socket")), stream }
     }
-    /// Writes what may be cut off.
+    /// Writes bytes; unlike [`Client::send`] it allows the server to close the connection meanwhile.
     pub fn write(&mut self, bytes: &[u8]) -> std::io::Result<()> {
         self.stream.write_all(bytes)
     }
     pub fn send(&mut self, text: &str) {
-        self.stream.write_all(text.as_bytes()).expect("it reads");
+        self.stream.write_all(text.as_bytes()).expect("the connection is open");
     }
-    /// The next answer; `None` when the connection ends without one.
+    /// Reads the next response; returns `None` when the connection ends without one.
     pub fn read_response(&mut self) -> Option<Message> {
         Message::read(&mut self.reader)
     }
-    /// What comes, byte for byte.
+    /// Returns the reading side, for bodies that are too long to collect.
     pub fn reader(&mut self) -> &mut BufReader<TcpStream> {
         &mut self.reader
     }
-    /// The answer to a request; `None` when the connection ends without one.
+    /// Sends a request and reads the response; returns `None` when the connection ends without one.
     pub fn try_exchange(&mut self, text: &str) -> Option<Message> {
         self.stream.write_all(text.as_bytes()).ok()?;
         self.read_response()
     }
+    /// Sends a request and reads the response; panics when there is none.
     pub fn exchange(&mut self, text: &str) -> Message {
         self.send(text);
-        self.read_response().expect("an answer")
+        self.read_response().expect("a response")
     }
 }
 
-/// A request of a class, as clients write it.
+/// Returns the text of a request of this class with this time budget.
 pub fn request(class: &str, budget_ms: u32) -> String {
     let method = if class == "look" { "GET" } else { "POST" };
     let key = if class == "buy" { "Idempotency-Key: k-17\r\n" } else { "" };
