--- a/crates/lanespan/tests/crossings.rs
+++ b/crates/lanespan/tests/races.rs
@@ -1,4 +1,5 @@
-//! What crosses at a running gateway: connections that come up late, floods, idle crowds, moves and kills.
+//! Races and overload at a running gateway: late connections, connection floods, many idle clients, reloads and
+//! backends that die after an accept.
 #[path = "sockets/harness.rs"]
 mod harness;
 
@@ -8,53 +9,59 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A listener whose queue is full, so that further connections come up only once it accepts.
+/// Returns a listener with a full accept queue, so that further connections are established only once it accepts.
 fn full_listener() -> (TcpListener, Vec<TcpStream>) {
-    const PROBE: Duration = Duration::from_millis(50);
-    const MOST: usize = 10_000;
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("bound");
-    let filling: Vec<TcpStream> =
-        (0..MOST).map_while(|_| TcpStream::connect_timeout(&address, PROBE).ok()).collect();
-    assert!(filling.len() < MOST, "the queue never fills");
+    const CONNECT_TIMEOUT: Duration = Duration::from_millis(50);
+    const MAX_CONNECTIONS: usize = 10_000;
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+    let address = listener.local_addr().expect("a bound listener");
+    let filling: Vec<TcpStream> = (0..MAX_CONNECTIONS)
+        .map_while(|_| TcpStream::connect_timeout(&address, CONNECT_TIMEOUT).ok())
+        .collect();
+    assert!(filling.len() < MAX_CONNECTIONS, "the accept queue does not fill");
     (listener, filling)
 }
 
-/// How many descriptors a process holds.
+/// Returns the number of open file descriptors of the process.
 fn descriptors(node: &Node) -> usize {
-    std::fs::read_dir(format!("/proc/{}/fd", node.child.id())).expect("it runs").count()
+    std::fs::read_dir(format!("/proc/{}/fd", node.child.id())).expect("the gateway is running").count()
 }
 
-/// Waits until somebody's connection to this address has been asked for and not come up.
+/// Waits until a connection to this address is in the state SYN-SENT.
 fn wait_for_dial(address: SocketAddr) {
     const SYN_SENT: &str = "02";
     let remote = format!(":{:04X}", address.port());
     let until = Instant::now() + TEST_TIMEOUT;
     let dialling = || {
-        let sockets = std::fs::read_to_string("/proc/net/tcp").expect("the sockets");
+        let sockets = std::fs::read_to_string("/proc/net/tcp").expect("the socket table");
         sockets.lines().any(|line| {
             let fields: Vec<&str> = line.split_whitespace().collect();
             fields.len() > 3 && fields[2].ends_with(&remote) && fields[3] == SYN_SENT
         })
     };
     while !dialling() {
-        assert!(Instant::now() < until, "waited in vain for a dial");
+        assert!(Instant::now() < until, "timed out waiting for a dial");
         thread::yield_now();
     }
 }
 
 #[test]
-fn a_window_that_ends_in_the_middle_of_a_dial_ends_the_repeats() {
+fn no_retry_is_sent_when_the_idempotency_window_ends_during_the_dial() {
     let (reset, resets) = std::sync::mpsc::channel();
     let resets = std::sync::Mutex::new(resets);
     let first = Stub::start(move |_| {
-        resets.lock().expect("whole").recv_timeout(TEST_TIMEOUT).expect("the test goes on");
+        resets
+            .lock()
+            .expect("unpoisoned lock")
+            .recv_timeout(TEST_TIMEOUT)
+            .expect("the test triggers the reset");
         Reply::RawThenClose(String::new())
     });
     let (late, filling) = full_listener();
-    let late_address = late.local_addr().expect("bound");
+    let late_address = late.local_addr().expect("a bound listener");
     let (discovery, counter) = (Discovery::start(&member("s-1", first.address, "ready")), counter());
-    // A handshake that found the queue full is tried again after 1 s: by then the window is over, the dial is not.
+    // The kernel repeats a SYN that found the queue full after 1 s: by then the idempotency window has ended, but the
+    // dial has not timed out.
     let config = config(discovery.stub.address, counter.address)
         .replace("\"window\":8000000", "\"window\":800000")
         .replace("\"dial_timeout\":250000", "\"dial_timeout\":6000000");
@@ -64,39 +71,43 @@
     client.send(&request("buy", 3500));
     first.wait_for("the first attempt", |log| log.requests.len() == 1);
     discovery.publish(42, false, &member("s-2", late_address, "ready"));
-    reset.send(()).expect("it waits");
+    reset.send(()).expect("the backend waits");
     wait_for_dial(late_address);
     drop(filling);
-    let accepting = late.try_clone().expect("a socket");
+    let accepting = late.try_clone().expect("an open socket");
     let accepted = thread::spawn(move || {
-        // Those that filled the queue end at once; the late one is the gateway's.
+        // The connections that filled the queue carry nothing and are closed; the last one is the gateway's.
         accepting
             .incoming()
             .map_while(Result::ok)
             .map(|mut stream| {
-                let mut carried = String::new();
-                stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a socket");
-                let _ = stream.read_to_string(&mut carried);
-                carried
+                let mut received = String::new();
+                stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("an open socket");
+                let _ = stream.read_to_string(&mut received);
+                received
             })
-            .take_while(|carried| carried != LAST)
+            .take_while(|received| received != END_OF_TEST)
             .collect::<String>()
     });
-    assert_eq!(client.read_response().expect("an answer").status(), 429, "a keyed request may come again");
+    assert_eq!(
+        client.read_response().expect("a response").status(),
+        429,
+        "a request with an idempotency key may be retried by its client"
+    );
     node.signal("TERM");
     assert_eq!(node.wait_for_exit(), Some(0));
     let mut last = TcpStream::connect(late_address).expect("it listens");
-    std::io::Write::write_all(&mut last, LAST.as_bytes()).expect("it is open");
+    std::io::Write::write_all(&mut last, END_OF_TEST.as_bytes()).expect("the connection is open");
     drop(last);
-    assert_eq!(accepted.join().expect("it ends"), "", "nothing was begun behind its window");
+    assert_eq!(accepted.join().expect("no panic"), "", "no attempt was sent after the window");
     assert_eq!(first.requests().len(), 1);
 }
 
-/// What tells the late listener that no more comes.
-const LAST: &str = "no more comes";
+/// The text that ends the late listener's accept loop.
+const END_OF_TEST: &str = "end of test";
 
 #[test]
-fn a_flood_of_connections_is_answered_in_the_end_and_never_takes_more_descriptors_than_there_are() {
+fn a_flood_of_connections_is_served_eventually_within_the_descriptor_limit() {
     const SOCKETS: usize = 64;
     const CLIENTS: usize = 400;
     let backend = Stub::start(|_| http("200 OK", "ok"));
@@ -111,26 +122,27 @@
     let node = Node::spawn(platform_command(&config));
     node.wait_ready();
     let address = node.address;
-    let flood: Vec<_> = (0..CLIENTS).map(|number| thread::spawn(move || answered(address, number))).collect();
-    let mut most = 0;
+    let flood: Vec<_> =
+        (0..CLIENTS).map(|number| thread::spawn(move || is_served_eventually(address, number))).collect();
+    let mut peak = 0;
     while flood.iter().any(|client| !client.is_finished()) {
-        most = most.max(descriptors(&node));
+        peak = peak.max(descriptors(&node));
         thread::yield_now();
     }
-    let answered = flood.into_iter().map(|client| client.join().expect("it ends"));
-    assert_eq!(answered.filter(|answered| *answered).count(), CLIENTS);
-    assert!(most <= SOCKETS, "{most} descriptors");
+    let served = flood.into_iter().map(|client| client.join().expect("no panic"));
+    assert_eq!(served.filter(|served| *served).count(), CLIENTS);
+    assert!(peak <= SOCKETS, "{peak} descriptors");
     assert_eq!(node.client().exchange(&request("look", 3000)).status(), 200);
 }
 
-/// Whether a client that comes back when its connection is closed unread is served in the end.
-fn answered(address: SocketAddr, number: usize) -> bool {
+/// Returns whether a client that reconnects after each close without a response is served within the time limit.
+fn is_served_eventually(address: SocketAddr, number: usize) -> bool {
     let id = format!("X-Call-Id: {number:016x}");
-    let asked = request("look", 3900).replace("X-Call-Id: 9b1f03aa5c7e2d41", &id);
+    let text = request("look", 3900).replace("X-Call-Id: 9b1f03aa5c7e2d41", &id);
     let until = Instant::now() + TEST_TIMEOUT;
     while Instant::now() < until {
-        let answer = Client::connect(address).try_exchange(&asked);
-        if answer.is_some_and(|answer| answer.status() == 200) {
+        let response = Client::connect(address).try_exchange(&text);
+        if response.is_some_and(|response| response.status() == 200) {
             return true;
         }
     }
@@ -138,7 +150,7 @@
 }
 
 #[test]
-fn idle_clients_that_fill_the_places_while_discovery_is_down_keep_no_reload_and_no_drain_from_being_heard() {
+fn idle_clients_at_the_connection_limit_block_neither_a_reload_nor_a_drain() {
     let (old, new) = (Stub::start(|_| http("200 OK", "old")), Stub::start(|_| http("200 OK", "new")));
     let (silent, counter) = (Stub::start(|_| Reply::Silence), counter());
     let known = endpoint_list(7, true, &member("s-old", old.address, "ready"));
@@ -152,15 +164,15 @@
     let path = config_file(&with(silent.address));
     let node = Node::spawn(platform_command_from(&path));
     node.wait_ready();
-    let crowd: Vec<Client> = (0..128).map(|_| node.client()).collect();
+    let idle_clients: Vec<Client> = (0..128).map(|_| node.client()).collect();
     assert_eq!(
         node.client().exchange(&request("look", 3000)).body,
         "old",
-        "discovery is down, requests go on"
+        "requests are served while discovery is down"
     );
-    // A new configuration, and a drain right after.
+    // Reloads the configuration, then drains a backend.
     let discovery = Discovery::start(&member("s-old", old.address, "ready"));
-    std::fs::write(&path, with(discovery.stub.address)).expect("written");
+    std::fs::write(&path, with(discovery.stub.address)).expect("the file is written");
     node.signal("HUP");
     discovery.wait_for_watch(41);
     let members = [member("s-old", old.address, "draining"), member("s-new", new.address, "ready")];
@@ -168,37 +180,37 @@
     for _ in 0..8 {
         assert_eq!(node.client().exchange(&request("look", 3000)).body, "new");
     }
-    drop(crowd);
+    drop(idle_clients);
 }
 
 #[test]
-fn a_backend_that_is_killed_right_after_an_accept_takes_no_request_twice() {
-    let killed = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = killed.local_addr().expect("bound");
+fn a_backend_that_resets_accepted_connections_causes_no_duplicate_request() {
+    let resetting = TcpListener::bind("127.0.0.1:0").expect("a free port");
+    let address = resetting.local_addr().expect("a bound listener");
     thread::spawn(move || {
-        for stream in killed.incoming().flatten() {
-            // What was accepted ends with a reset, as where a process dies.
-            socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO)).expect("a socket");
+        for stream in resetting.incoming().flatten() {
+            // Closes each accepted connection with a reset, as the kernel does when the process is killed.
+            socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO)).expect("an open socket");
         }
     });
-    let sound = Stub::start(|_| http("200 OK", "ok"));
-    let members = [member("s-1", address, "ready"), member("s-2", sound.address, "ready")].join(",");
+    let healthy = Stub::start(|_| http("200 OK", "ok"));
+    let members = [member("s-1", address, "ready"), member("s-2", healthy.address, "ready")].join(",");
     let (discovery, counter) = (Discovery::start(&members), counter());
     let node = Node::start(&discovery, &counter);
     let mut sent = 0;
     for number in 0..40 {
         let class = ["look", "once"][number % 2];
         let id = format!("X-Call-Id: {number:016x}");
-        let asked = request(class, 3000).replace("X-Call-Id: 9b1f03aa5c7e2d41", &id);
-        let status = node.client().exchange(&asked).status();
+        let text = request(class, 3000).replace("X-Call-Id: 9b1f03aa5c7e2d41", &id);
+        let status = node.client().exchange(&text).status();
         let allowed: &[u16] = if class == "look" { &[200] } else { &[200, 429, 502] };
         assert!(allowed.contains(&status), "{class}: {status}");
         sent += usize::from(status == 200);
     }
     let mut ids: Vec<_> =
-        sound.requests().iter().map(|seen| seen.header("x-call-id").map(str::to_string)).collect();
-    assert_eq!(ids.len(), sent, "whatever the sound one ran was served");
+        healthy.requests().iter().map(|seen| seen.header("x-call-id").map(str::to_string)).collect();
+    assert_eq!(ids.len(), sent, "each request that the healthy backend received was served");
     ids.sort();
     ids.dedup();
-    assert_eq!(ids.len(), sent, "and none of it twice");
+    assert_eq!(ids.len(), sent, "no request was received twice");
 }
--- a/crates/lanespan/tests/relay.rs
+++ b/crates/lanespan/tests/relay.rs
@@ -1,4 +1,4 @@
-//! Long answers through a running gateway, on loopback sockets.
+//! Streams long responses through a running gateway, on loopback sockets.
 #[path = "sockets/harness.rs"]
 mod harness;
 
@@ -12,73 +12,80 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
-/// A gateway before one backend, with this `streaming` section and so much memory.
-fn before(
+/// Starts a gateway in front of one stub backend, with this `streaming` section and memory limit.
+fn gateway_with_backend(
     section: &str,
     memory_mb: u32,
-    answer: impl Fn(&Message) -> Reply + Send + Sync + 'static,
+    handler: impl Fn(&Message) -> Reply + Send + Sync + 'static,
 ) -> (Stub, Discovery, Stub, Node) {
-    let backend = Stub::start(answer);
+    let backend = Stub::start(handler);
     let (discovery, counter, node) = gateway(section, memory_mb, backend.address);
     (backend, discovery, counter, node)
 }
 
-/// An answer that claims so many bytes and writes so many of them, then closes if it wrote fewer.
-fn long(claims: usize, writes: usize) -> Reply {
+/// Returns a reply with a `Content-Length` of `declared` that writes `written` bytes, and closes if these are fewer.
+fn long_reply(declared: usize, written: usize) -> Reply {
     Reply::Write(Box::new(move |stream: &mut TcpStream| {
-        let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {claims}\r\n\r\n");
+        let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {declared}\r\n\r\n");
         if stream.write_all(head.as_bytes()).is_err() {
             return;
         }
-        for at in (0..writes).step_by(MIB) {
-            // The other side may close at any time.
-            if stream.write_all(&body_part(at, MIB.min(writes - at))).is_err() {
+        for at in (0..written).step_by(MIB) {
+            // The gateway may close the connection at any time.
+            if stream.write_all(&body_part(at, MIB.min(written - at))).is_err() {
                 return;
             }
         }
-        if writes < claims {
+        if written < declared {
             let _ = stream.shutdown(Shutdown::Both);
         }
     }))
 }
 
 #[test]
-fn a_long_answer_arrives_whole_in_bounded_memory_and_its_connection_is_used_again() {
+fn a_long_response_arrives_complete_in_bounded_memory_and_its_connection_is_reused() {
     let length = large_body_bytes();
-    let (backend, _discovery, _counter, node) = before(STREAMING_SECTION, 64, move |_| long(length, length));
-    // Before the client connects: one that says nothing for long is let go.
-    let whole = Digest::of(length);
+    let (backend, _discovery, _counter, node) =
+        gateway_with_backend(STREAMING_SECTION, 64, move |_| long_reply(length, length));
+    // Computed before the client connects, because the gateway closes connections that send nothing for long.
+    let expected = Digest::of(length);
     let mut client = node.client();
     for _ in 0..2 {
         client.send(&request("look", 4000));
         let head = read_head(client.reader());
         assert!(head[0].starts_with("http/1.1 200"), "{head:?}");
         assert!(head.contains(&format!("content-length: {length}")), "{head:?}");
-        assert_eq!(read_digest(client.reader(), length), whole);
+        assert_eq!(read_digest(client.reader(), length), expected);
     }
     assert!(peak_memory_bytes(&node) < 24 * MIB, "{} bytes", peak_memory_bytes(&node));
     let seen = backend.requests();
     assert_eq!(seen.len(), 2);
-    assert_eq!(seen[0].connection, seen[1].connection, "it ended well, so it is kept");
+    assert_eq!(
+        seen[0].connection, seen[1].connection,
+        "the response was complete, so the connection is kept"
+    );
 }
 
 #[test]
-fn an_answer_that_breaks_one_byte_before_its_end_is_no_whole_one_to_the_client() {
+fn a_response_that_ends_one_byte_early_is_incomplete_for_the_client() {
     const LENGTH: usize = 3 * MIB;
-    let (backend, _discovery, _counter, node) = before(STREAMING_SECTION, 64, |_| long(LENGTH, LENGTH - 1));
+    let (backend, _discovery, _counter, node) =
+        gateway_with_backend(STREAMING_SECTION, 64, |_| long_reply(LENGTH, LENGTH - 1));
     let mut client = node.client();
     client.send(&request("look", 4000));
     assert!(read_head(client.reader()).contains(&format!("content-length: {LENGTH}")));
     let read = read_digest(client.reader(), LENGTH);
     assert!(read.1 < LENGTH, "{read:?}");
-    assert_eq!(backend.requests().len(), 1, "past the head nothing is tried again");
+    assert_eq!(backend.requests().len(), 1, "no retry once the response head was forwarded");
 }
 
 #[test]
-fn a_backend_whose_long_answers_break_gets_less_of_the_work() {
+fn a_backend_with_truncated_long_responses_gets_fewer_requests() {
     const LENGTH: usize = MIB;
-    let (breaks, sound) = (Stub::start(|_| long(LENGTH, LENGTH / 2)), Stub::start(|_| long(LENGTH, LENGTH)));
-    let members = [member("s-1", breaks.address, "ready"), member("s-2", sound.address, "ready")].join(",");
+    let (truncating, healthy) =
+        (Stub::start(|_| long_reply(LENGTH, LENGTH / 2)), Stub::start(|_| long_reply(LENGTH, LENGTH)));
+    let members =
+        [member("s-1", truncating.address, "ready"), member("s-2", healthy.address, "ready")].join(",");
     let (discovery, counter) = (Discovery::start(&members), counter());
     let config = config(discovery.stub.address, counter.address).replacen(
         '{',
@@ -93,13 +100,13 @@
         read_head(client.reader());
         read_digest(client.reader(), LENGTH);
     }
-    let met = breaks.requests().len();
-    assert!(met > 0 && met < 20, "{met} of 60 went to the one that breaks");
+    let received = truncating.requests().len();
+    assert!(received > 0 && received < 20, "{received} of 60 went to the truncating backend");
 }
 
 #[test]
-fn a_chunk_that_is_spoilt_after_the_start_ends_the_connection_without_a_last_chunk() {
-    let (backend, _discovery, _counter, node) = before(STREAMING_SECTION, 64, |_| {
+fn a_malformed_chunk_in_a_streamed_response_ends_the_connection_without_a_last_chunk() {
+    let (backend, _discovery, _counter, node) = gateway_with_backend(STREAMING_SECTION, 64, |_| {
         Reply::Write(Box::new(|stream: &mut TcpStream| {
             let body = "x".repeat(MIB);
             let text =
@@ -111,19 +118,19 @@
     client.send(&request("look", 4000));
     assert!(read_head(client.reader()).contains(&"transfer-encoding: chunked".to_string()));
     let mut rest = Vec::new();
-    // A reset may come with the end.
+    // The connection may end with a reset.
     let _ = client.reader().read_to_end(&mut rest);
     assert!(!rest.is_empty() && !rest.ends_with(b"0\r\n\r\n"), "{} bytes", rest.len());
     assert_eq!(backend.requests().len(), 1);
 }
 
 #[test]
-fn an_answer_that_is_spoilt_within_its_start_is_tried_again_as_its_class_allows() {
+fn a_response_truncated_before_streaming_is_retried_if_its_class_allows() {
     for (class, status, attempts) in [("look", 200, 2), ("once", 502, 1)] {
         let seen = AtomicUsize::new(0);
         let (backend, _discovery, _counter, node) =
-            before(STREAMING_SECTION, 64, move |_| match seen.fetch_add(1, Ordering::SeqCst) {
-                0 => long(3 * MIB, 32 * 1024),
+            gateway_with_backend(STREAMING_SECTION, 64, move |_| match seen.fetch_add(1, Ordering::SeqCst) {
+                0 => long_reply(3 * MIB, 32 * 1024),
                 _ => http("200 OK", "ok"),
             });
         assert_eq!(node.client().exchange(&request(class, 4000)).status(), status, "{class}");
@@ -132,34 +139,34 @@
 }
 
 #[test]
-fn a_hundred_clients_that_read_nothing_slow_their_own_streams_alone_and_are_let_go() {
+fn clients_that_read_nothing_stall_only_their_own_streams_and_are_disconnected() {
     let (backend, _discovery, _counter, node) =
-        before(STREAMING_SECTION, 192, |request| match request.header("x-call-class") {
-            Some("look") => long(512 * MIB, 512 * MIB),
+        gateway_with_backend(STREAMING_SECTION, 192, |request| match request.header("x-call-class") {
+            Some("look") => long_reply(512 * MIB, 512 * MIB),
             _ => http("200 OK", "ok"),
         });
-    let silent: Vec<Client> = (0..100)
+    let stalled: Vec<Client> = (0..100)
         .map(|i| {
             let mut client = node.client();
             client.send(&request("look", 4000).replace("9b1f", &format!("{i:04x}")));
-            // Its answer has begun; from here on it reads nothing.
+            // The response has begun; the client reads nothing further.
             assert!(read_head(client.reader())[0].starts_with("http/1.1 200"));
             client
         })
         .collect();
-    assert_eq!(node.client().exchange(&request("once", 4000)).status(), 200, "others are served");
-    // Less than the least went through in a window.
-    backend.wait_for("the streams' end", |log| log.closed >= silent.len());
+    assert_eq!(node.client().exchange(&request("once", 4000)).status(), 200, "other clients are served");
+    // Each stream moved less than `least_kb_per_s` within its window.
+    backend.wait_for("the end of the streams", |log| log.closed >= stalled.len());
     assert!(peak_memory_bytes(&node) < 64 * MIB, "{} bytes", peak_memory_bytes(&node));
 }
 
 #[test]
-fn a_backend_that_drips_after_the_start_is_cut_off_and_the_client_can_tell() {
-    let (backend, _discovery, _counter, node) = before(STREAMING_SECTION, 64, |_| {
+fn a_backend_that_stalls_in_a_streamed_response_is_disconnected_and_the_response_is_incomplete() {
+    let (backend, _discovery, _counter, node) = gateway_with_backend(STREAMING_SECTION, 64, |_| {
         Reply::Write(Box::new(|stream: &mut TcpStream| {
             let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n");
             let _ = stream.write_all(&body_part(0, 80 * 1024));
-            // Then nothing, until the other side closes.
+            // Sends nothing more until the gateway closes the connection.
             let _ = stream.read(&mut [0]);
         }))
     });
@@ -167,76 +174,85 @@
     client.send(&request("look", 4000));
     let start = Instant::now();
     assert!(read_head(client.reader()).contains(&"content-length: 3000000000".to_string()));
-    assert_eq!(read_digest(client.reader(), 3_000_000_000).1, 80 * 1024, "what came, and the end");
+    assert_eq!(
+        read_digest(client.reader(), 3_000_000_000).1,
+        80 * 1024,
+        "the bytes that were sent, then the end"
+    );
     assert!(
         start.elapsed() < TEST_TIMEOUT - Duration::from_secs(1),
-        "by the gateway, not by this test's limit"
+        "ended by the gateway, not by the time limit of the test"
     );
-    backend.wait_for("its connection's end", |log| log.closed == log.opened);
+    backend.wait_for("the end of the backend connection", |log| log.closed == log.opened);
 }
 
 #[test]
-fn a_client_that_leaves_takes_its_stream_along() {
-    let (backend, _discovery, _counter, node) = before(STREAMING_SECTION, 64, |_| long(512 * MIB, 512 * MIB));
+fn a_client_disconnect_ends_its_stream() {
+    let (backend, _discovery, _counter, node) =
+        gateway_with_backend(STREAMING_SECTION, 64, |_| long_reply(512 * MIB, 512 * MIB));
     let mut client = node.client();
     client.send(&request("look", 4000));
     assert_eq!(read_digest(client.reader(), MIB).1, MIB);
     drop(client);
-    backend.wait_for("its connection's end", |log| log.closed == log.opened);
+    backend.wait_for("the end of the backend connection", |log| log.closed == log.opened);
     assert_eq!(backend.requests().len(), 1);
 }
 
 #[test]
-fn a_drain_and_an_unusable_file_leave_streams_and_their_bounds_alone() {
+fn a_drain_and_an_invalid_configuration_leave_streams_and_their_limits_unchanged() {
     const LENGTH: usize = 3 * MIB;
-    let (go_on, told) = std::sync::mpsc::channel::<()>();
-    let told = std::sync::Mutex::new(told);
+    let (release, released) = std::sync::mpsc::channel::<()>();
+    let released = std::sync::Mutex::new(released);
     let backend = StreamingBackend::start(move |stream, _, _| {
         let text = format!("HTTP/1.1 200 OK\r\nContent-Length: {LENGTH}\r\n\r\n");
         respond(stream, &text);
         let _ = stream.get_mut().write_all(&body_part(0, MIB));
-        told.lock().expect("whole").recv_timeout(TEST_TIMEOUT).expect("the test goes on");
+        released
+            .lock()
+            .expect("unpoisoned lock")
+            .recv_timeout(TEST_TIMEOUT)
+            .expect("the test releases the response");
         let _ = stream.get_mut().write_all(&body_part(MIB, LENGTH - MIB));
         None
     });
     let discovery = Discovery::start(&member("s-1", backend.address, "ready"));
-    let (counter, patient) =
+    let (counter, long_window) =
         (counter(), STREAMING_SECTION.replace("\"window_ms\":1000", "\"window_ms\":20000"));
-    let plain = config(discovery.stub.address, counter.address);
-    let with = |section: &str| plain.replacen('{', &format!("{{\"streaming\":{section},"), 1);
-    let path = config_file(&with(&patient));
+    let base = config(discovery.stub.address, counter.address);
+    let with = |section: &str| base.replacen('{', &format!("{{\"streaming\":{section},"), 1);
+    let path = config_file(&with(&long_window));
     let node = Node::spawn(operator_command_from(&path));
     node.wait_ready();
-    let ask = |number: usize| {
+    let send_request = |number: usize| {
         let mut client = node.client();
         client.send(&request("look", 4000).replace("9b1f", &format!("{number:04x}")));
-        let told = read_head(client.reader());
-        assert!(told.contains(&format!("content-length: {LENGTH}")), "{told:?}");
+        let head = read_head(client.reader());
+        assert!(head.contains(&format!("content-length: {LENGTH}")), "{head:?}");
         client
     };
-    let mut first = ask(0);
-    std::fs::write(&path, with(r#"{"hold_kb":0}"#)).expect("written");
+    let mut first = send_request(0);
+    std::fs::write(&path, with(r#"{"hold_kb":0}"#)).expect("the file is written");
     node.signal("HUP");
     let line = node.wait_for_line("the old one stays");
     assert!(line.contains("streaming.hold_kb: expected a whole number"), "{line}");
-    let mut second = ask(1);
+    let mut second = send_request(1);
     discovery.publish(42, false, &member("s-1", backend.address, "draining"));
     for client in [&mut first, &mut second] {
-        go_on.send(()).expect("it waits");
+        release.send(()).expect("the backend waits");
         assert_eq!(read_digest(client.reader(), LENGTH), Digest::of(LENGTH));
     }
 }
 
 #[test]
-fn at_sigterm_a_stream_has_its_grace_and_then_ends_short() {
-    // More than can go through by then.
+fn sigterm_lets_a_stream_run_for_the_grace_period_and_then_truncates_it() {
+    // 1 TiB: more than can pass within the grace period.
     const LENGTH: usize = 1 << 40;
-    let (_backend, _discovery, _counter, mut node) = before(STREAMING_SECTION, 64, |_| {
+    let (_backend, _discovery, _counter, mut node) = gateway_with_backend(STREAMING_SECTION, 64, |_| {
         Reply::Write(Box::new(|stream: &mut TcpStream| {
             let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {LENGTH}\r\n\r\n");
-            let (mut going, more) = (stream.write_all(head.as_bytes()), vec![b'x'; MIB]);
-            while going.is_ok() {
-                going = stream.write_all(&more);
+            let (mut result, block) = (stream.write_all(head.as_bytes()), vec![b'x'; MIB]);
+            while result.is_ok() {
+                result = stream.write_all(&block);
             }
         }))
     });
@@ -249,24 +265,24 @@
     loop {
         match client.reader().read(&mut buffer) {
             Ok(0) | Err(_) => break,
-            Ok(some) => read += some,
+            Ok(count) => read += count,
         }
-        assert!(start.elapsed() < TEST_TIMEOUT, "it ends");
+        assert!(start.elapsed() < TEST_TIMEOUT, "the stream ends");
     }
     assert!(read > 2 * MIB && read < LENGTH, "{read} bytes");
     assert_eq!(node.wait_for_exit(), Some(0));
 }
 
 #[test]
-fn without_the_section_a_long_answer_is_a_failed_attempt() {
-    let backend = Stub::start(|_| long(MIB, MIB));
+fn without_a_streaming_section_a_long_response_is_a_failed_attempt() {
+    let backend = Stub::start(|_| long_reply(MIB, MIB));
     let (discovery, counter) = (Discovery::start(&member("s-1", backend.address, "ready")), counter());
     let node = Node::start(&discovery, &counter);
     assert_eq!(node.client().exchange(&request("once", 2000)).status(), 502);
 }
 
 #[test]
-fn a_streaming_section_that_makes_no_sense_is_told_in_one_line() {
+fn an_invalid_streaming_section_is_reported_in_one_line() {
     let nowhere = "127.0.0.1:1".parse().expect("an address");
     for (section, line) in [
         (r#"{"hold":64}"#, "streaming.hold: unknown; known are hold_kb, wait_ms, "),
@@ -281,9 +297,9 @@
         let config = config(nowhere, nowhere)
             .replacen('{', &format!("{{\"streaming\":{section},"), 1)
             .replace("\"memory_mb\":192", "\"memory_mb\":32");
-        let done = operator_command(&config).output().expect("it runs");
-        let told = String::from_utf8(done.stderr).expect("text");
-        assert_eq!((done.status.code(), told.lines().count()), (Some(2), 1), "{told}");
-        assert!(told.contains(line), "{line}: {told}");
+        let output = operator_command(&config).output().expect("the command runs");
+        let stderr = String::from_utf8(output.stderr).expect("UTF-8 text");
+        assert_eq!((output.status.code(), stderr.lines().count()), (Some(2), 1), "{stderr}");
+        assert!(stderr.contains(line), "{line}: {stderr}");
     }
 }
--- a/crates/lanespan/tests/sockets/main.rs
+++ b/crates/lanespan/tests/sockets/main.rs
@@ -97,8 +97,8 @@
 #[test]
 fn a_safe_request_is_retried_on_another_backend_after_a_connection_reset() {
     let broken = Stub::start(|_| Reply::RawThenClose(String::new()));
-    let sound = Stub::start(|_| http("200 OK", "ok"));
-    let members = [member("s-1", broken.address, "ready"), member("s-2", sound.address, "ready")].join(",");
+    let healthy = Stub::start(|_| http("200 OK", "ok"));
+    let members = [member("s-1", broken.address, "ready"), member("s-2", healthy.address, "ready")].join(",");
     let (discovery, counter) = (Discovery::start(&members), counter());
     let node = Node::start(&discovery, &counter);
     for _ in 0..8 {
