--- a/crates/lanespan/tests/sockets/harness.rs
+++ b/crates/lanespan/tests/sockets/harness.rs
@@ -82,14 +82,14 @@
     pub fn spawn(mut command: Command) -> Node {
         let mut child = command.spawn().expect("the gateway starts");
         let mut log = BufReader::new(child.stderr.take().expect("stderr is piped"));
-        let mut startup_log = String::new();
+        let mut log_text = String::new();
         let address = loop {
             let mut line = String::new();
             assert!(
                 log.read_line(&mut line).expect("UTF-8 text") > 0,
-                "the gateway ended before it listened: {startup_log}"
+                "the gateway ended before it listened: {log_text}"
             );
-            startup_log.push_str(&line);
+            log_text.push_str(&line);
             if let Some(address) = line.split("address=").nth(1) {
                 let address = address.split(' ').next().unwrap_or_default();
                 break address.trim().parse().expect("an address");
@@ -104,7 +104,7 @@
                 shared_lines.1.notify_all();
             }
         });
-        Node { child, address, startup_log, log: lines }
+        Node { child, address, startup_log: log_text, log: lines }
     }
     /// Waits for a log line that contains `part` and returns the line.
     pub fn wait_for_line(&self, part: &str) -> String {
--- a/crates/lanespan/tests/upload.rs
+++ b/crates/lanespan/tests/upload.rs
@@ -83,7 +83,10 @@
         seen[0].connection, seen[1].connection,
         "both bodies were complete, so the connection is kept"
     );
-    assert!(at_end(&mut client), "a client connection is closed after a chunked body");
+    assert!(
+        at_end(&mut client),
+        "a client connection is closed after a chunked body: bytes behind it are not trusted"
+    );
 }
 
 #[test]
