--- a/crates/lanespan/tests/platform.rs
+++ b/crates/lanespan/tests/platform.rs
@@ -41,7 +41,7 @@
             assert_eq!(node.client().exchange(&request("look", 3000)).status(), 200, "{key}: {value}");
             let startup_log = node.startup_log();
             assert!(
-                !startup_log.contains("door is open") && !startup_log.contains("joining the fleet"),
+                !startup_log.contains("admin interface open") && !startup_log.contains("joining the fleet"),
                 "{key}: {startup_log}"
             );
             let is_own_section = key != "limits" && key != "known";
@@ -98,7 +98,7 @@
     let node = Node::spawn(command);
     // The first line with an address is that of the admin interface.
     let listening = node.wait_for_line("listening");
-    assert!(node.startup_log().contains("the operators' door is open"), "{}", node.startup_log());
+    assert!(node.startup_log().contains("admin interface open"), "{}", node.startup_log());
     let invalid = r#"{"pool":{"links":0}}"#;
     std::fs::write(&sections, invalid).expect("the file is written");
     node.signal("HUP");
