--- a/crates/simhost/src/decode.rs
+++ b/crates/simhost/src/decode.rs
@@ -1,4 +1,4 @@
-//! Lines of the simulator's protocol as events.
+//! Decodes lines of the simulator's protocol into events of the policy engine.
 
 use lanespan_policy::{
     Arrival, AttemptResult, CellId, ClassId, CounterKey, CustomerId, Endpoint, EndpointListScope,
@@ -7,10 +7,10 @@
 use lanespan_settings::{FieldError, Fields, Site};
 use std::collections::HashMap;
 
-/// Through how many gateways a customer's requests may come.
+/// Upper limit of `doors`, the number of gateways over which a customer's requests are spread.
 const MAX_GATEWAY_SPREAD: f64 = 1e6;
 
-/// The event of a line; `None`: a message that this adapter does not know, which a later edition may send.
+/// Decodes a line into an event. Returns `None` for an unknown message type, which a newer protocol version may send.
 pub(crate) fn read_event(fields: &Fields, site: &mut Site, now: Micros) -> Result<Option<Event>, FieldError> {
     Ok(Some(match fields.message_type {
         "KNOCK" => Event::RequestArrived(read_arrival(fields, site, now)?),
@@ -59,7 +59,7 @@
         customer: CustomerId(customer),
         gateway_spread: fields.f64_or("doors", 1.0)?.clamp(1.0, MAX_GATEWAY_SPREAD) as u32,
         active_gateways: 0,
-        deadline: fields.optional("drop_dead", "a clock time")?.map_or(class_deadline, Micros),
+        deadline: fields.optional("drop_dead", "a time in microseconds")?.map_or(class_deadline, Micros),
         units,
         is_client_retry: fields.bool_or("resent", false)?,
     })
@@ -69,9 +69,9 @@
     fields: &Fields,
     name: &str,
     expected: &str,
-    known: &HashMap<String, usize>,
+    indices: &HashMap<String, usize>,
 ) -> Result<usize, FieldError> {
-    known.get(fields.required_str(name)?).copied().ok_or_else(|| fields.unexpected(name, expected))
+    indices.get(fields.required_str(name)?).copied().ok_or_else(|| fields.unexpected(name, expected))
 }
 
 fn read_attempt_result(fields: &Fields, site: &mut Site) -> Result<AttemptResult, FieldError> {
@@ -101,7 +101,7 @@
     })
 }
 
-/// Reads `name:number` pairs; names that are not known are passed over.
+/// Reads the `name:number` pairs of a load report. Unknown names are ignored.
 fn read_load_report(fields: &Fields) -> Result<LoadReport, FieldError> {
     let mut report = LoadReport::default();
     for pair in fields.pairs.get("report").into_iter().flat_map(|pairs| pairs.split(',')) {
@@ -122,7 +122,7 @@
     Ok(report)
 }
 
-/// The scope of an endpoint list.
+/// Reads the scope of an endpoint list.
 pub(crate) fn read_scope(fields: &Fields) -> Result<EndpointListScope, FieldError> {
     match fields.required_str("scope")? {
         "incr" => Ok(EndpointListScope::Changes),
@@ -132,7 +132,7 @@
     }
 }
 
-/// One entry of an endpoint list.
+/// Reads one entry of an endpoint list.
 pub(crate) fn read_endpoint(fields: &Fields, site: &mut Site) -> Result<Endpoint, FieldError> {
     Ok(Endpoint {
         backend: site.backend_id(fields.required_str("backend")?),
--- a/crates/simhost/src/encode.rs
+++ b/crates/simhost/src/encode.rs
@@ -1,15 +1,15 @@
-//! Actions as lines of the simulator's protocol.
+//! Encodes actions of the policy engine as lines of the simulator's protocol.
 
 use lanespan_policy::{Action, BackendId};
 use std::fmt::Write;
 
-/// Writes an action as a line.
+/// Appends an action to `out` as one line.
 pub(crate) fn write_action<'a>(
     action: &Action,
     backend_name: impl Fn(BackendId) -> &'a str,
     out: &mut String,
 ) {
-    // Writing to a String can't fail.
+    // Writing to a `String` cannot fail.
     let _ = match action {
         Action::Forward { request, backend, give_up_at, .. } => {
             let (request, backend) = (request.0, backend_name(*backend));
--- a/crates/simhost/src/error.rs
+++ b/crates/simhost/src/error.rs
@@ -1,48 +1,48 @@
-//! What can be wrong with the simulator's input.
+//! Errors in the simulator's input.
 
 use lanespan_policy::SettingsError;
 use lanespan_settings::FieldError;
 
-/// Why a line of the simulator's input can't be taken.
+/// An invalid line, or an invalid end, of the simulator's input.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum WireError {
-    /// A value of the line can't be read.
+    /// A field of the line is missing or malformed.
     #[error(transparent)]
     Field(#[from] FieldError),
-    /// The line stands outside a batch.
-    #[error("{place}: expected TICK to begin a batch")]
+    /// A line other than `TICK` was found outside a batch.
+    #[error("{place}: message outside a batch, expected TICK first")]
     OutsideBatch {
-        /// The line.
+        /// The line number and message type.
         place: String,
     },
-    /// The line stands before all entries of an endpoint list have come.
-    #[error("{place}: expected ITEM, the list is short")]
+    /// A line other than `ITEM` was found before the last entry of an endpoint list.
+    #[error("{place}: endpoint list is incomplete, expected ITEM")]
     IncompleteList {
-        /// The line.
+        /// The line number and message type.
         place: String,
     },
-    /// An entry of an endpoint list stands outside a list.
-    #[error("{place}: expected only inside a FLEET list")]
+    /// An entry of an endpoint list was found outside a list.
+    #[error("{place}: endpoint list entry outside a list, expected FLEET first")]
     EntryOutsideList {
-        /// The line.
+        /// The line number and message type.
         place: String,
     },
-    /// No gateway was named to which the line belongs.
-    #[error("{place}: expected a FOR line before it")]
+    /// No gateway instance has been selected in this batch.
+    #[error("{place}: no gateway instance is selected, expected FOR first")]
     NoInstance {
-        /// The line.
+        /// The line number and message type.
         place: String,
     },
-    /// The settings of a gateway make no sense.
-    #[error("{place}: settings: {reason}")]
+    /// The settings of a gateway instance are invalid.
+    #[error("{place}: invalid settings: {reason}")]
     Settings {
-        /// The line.
+        /// The line number and message type.
         place: String,
-        /// Why.
+        /// The violated constraint.
         reason: SettingsError,
     },
-    /// The input ended within a batch.
-    #[error("line {line}: expected FLUSH before the input's end")]
+    /// The input ended inside a batch.
+    #[error("line {line}: input ended inside a batch, expected FLUSH")]
     UnfinishedBatch {
         /// The number of the last line.
         line: u64,
--- a/crates/simhost/src/host.rs
+++ b/crates/simhost/src/host.rs
@@ -1,4 +1,4 @@
-//! The gateways of one process, and the batches of lines for them.
+//! Runs the gateway instances of one process and splits the input into batches for them.
 
 use crate::decode::{read_endpoint, read_event, read_scope};
 use crate::error::WireError;
@@ -8,30 +8,31 @@
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-/// An endpoint list whose entries are still coming.
-struct OpenList {
+/// An endpoint list of which not all entries have been received.
+struct PartialEndpointList {
     scope: EndpointListScope,
     endpoints: Vec<Endpoint>,
-    missing: u64,
+    remaining: u64,
 }
 
-/// The gateways of one process, by number, and the batch that is being read.
+/// Runs gateway instances and applies batches of input lines to them.
 #[derive(Default)]
 pub struct Host {
+    /// The running instances by the number in `who`.
     instances: BTreeMap<u32, Instance>,
-    /// The gateway to which the lines belong.
+    /// The instance to which the following lines of the batch apply.
     selected: Option<u32>,
     now: Micros,
     line_number: u64,
     in_batch: bool,
-    open_list: Option<OpenList>,
-    /// What each gateway replies to this batch.
+    partial_list: Option<PartialEndpointList>,
+    /// The reply lines of each instance to the current batch.
     replies: BTreeMap<u32, String>,
 }
 
 impl Host {
-    /// Takes one line of input; at the end of a batch, returns the reply.
-    pub fn line(&mut self, text: &str) -> Result<Option<String>, WireError> {
+    /// Processes one line of input. Returns the reply if the line ends a batch.
+    pub fn process_line(&mut self, text: &str) -> Result<Option<String>, WireError> {
         self.line_number += 1;
         if text.is_empty() {
             return Ok(None);
@@ -41,7 +42,7 @@
         if fields.message_type != "TICK" && !self.in_batch {
             return Err(WireError::OutsideBatch { place: place() });
         }
-        if self.open_list.is_some() && fields.message_type != "ITEM" {
+        if self.partial_list.is_some() && fields.message_type != "ITEM" {
             return Err(WireError::IncompleteList { place: place() });
         }
         match fields.message_type {
@@ -52,12 +53,12 @@
             "FLUSH" => return Ok(Some(self.end_batch())),
             "FLEET" => self.begin_list(&fields)?,
             "ITEM" => self.add_endpoint(&fields)?,
-            _ => self.take_event(&fields)?,
+            _ => self.process_event_line(&fields)?,
         }
         Ok(None)
     }
 
-    /// Whether the input may end now.
+    /// Returns an error if the input ends inside a batch.
     pub fn finish(&self) -> Result<(), WireError> {
         match self.in_batch {
             true => Err(WireError::UnfinishedBatch { line: self.line_number }),
@@ -68,7 +69,7 @@
     fn begin_batch(&mut self, fields: &Fields) -> Result<(), WireError> {
         let now = Micros(fields.required_u64("now")?);
         if self.in_batch || now < self.now {
-            let expected = "a batch's end first, and a clock that moves forward";
+            let expected = "the previous batch to be ended by FLUSH, and a time not before that batch's";
             return Err(fields.unexpected("now", expected).into());
         }
         self.now = now;
@@ -80,10 +81,10 @@
     fn end_batch(&mut self) -> String {
         self.in_batch = false;
         let mut reply = String::new();
-        for (number, text) in std::mem::take(&mut self.replies) {
+        for (instance_id, text) in std::mem::take(&mut self.replies) {
             if !text.is_empty() {
-                // Writing to a String can't fail.
-                let _ = write!(reply, "AS who={number}\n{text}");
+                // Writing to a `String` cannot fail.
+                let _ = write!(reply, "AS who={instance_id}\n{text}");
             }
         }
         reply.push_str("EOR\n");
@@ -91,58 +92,58 @@
     }
 
     fn start_instance(&mut self, fields: &Fields) -> Result<(), WireError> {
-        let number = self.selected(fields)?;
-        self.instances.insert(number, Instance::start(fields)?);
+        let instance_id = self.selected(fields)?;
+        self.instances.insert(instance_id, Instance::start(fields)?);
         Ok(())
     }
 
     fn stop_instance(&mut self, fields: &Fields) -> Result<(), WireError> {
-        let number = self.selected(fields)?;
-        self.instances.remove(&number);
-        self.replies.remove(&number);
+        let instance_id = self.selected(fields)?;
+        self.instances.remove(&instance_id);
+        self.replies.remove(&instance_id);
         Ok(())
     }
 
     fn begin_list(&mut self, fields: &Fields) -> Result<(), WireError> {
         let scope = read_scope(fields)?;
-        let missing = fields.u64_or("items", 0)?;
+        let remaining = fields.u64_or("items", 0)?;
         self.selected(fields)?;
-        self.open_list = Some(OpenList { scope, endpoints: Vec::new(), missing });
-        self.close_complete_list();
+        self.partial_list = Some(PartialEndpointList { scope, endpoints: Vec::new(), remaining });
+        self.deliver_complete_list();
         Ok(())
     }
 
     fn add_endpoint(&mut self, fields: &Fields) -> Result<(), WireError> {
-        let Some(list) = self.open_list.as_mut() else {
+        let Some(list) = self.partial_list.as_mut() else {
             return Err(WireError::EntryOutsideList { place: fields.place.clone() });
         };
-        if let Some(instance) = self.selected.and_then(|number| self.instances.get_mut(&number)) {
+        if let Some(instance) = self.selected.and_then(|instance_id| self.instances.get_mut(&instance_id)) {
             list.endpoints.push(read_endpoint(fields, &mut instance.site)?);
         }
-        list.missing -= 1;
-        self.close_complete_list();
+        list.remaining -= 1;
+        self.deliver_complete_list();
         Ok(())
     }
 
-    fn close_complete_list(&mut self) {
-        let complete = self.open_list.take_if(|list| list.missing == 0);
-        if let (Some(list), Some(number)) = (complete, self.selected) {
-            self.handle(number, Event::EndpointList { scope: list.scope, endpoints: list.endpoints });
+    fn deliver_complete_list(&mut self) {
+        let complete = self.partial_list.take_if(|list| list.remaining == 0);
+        if let (Some(list), Some(instance_id)) = (complete, self.selected) {
+            self.handle(instance_id, Event::EndpointList { scope: list.scope, endpoints: list.endpoints });
         }
     }
 
-    fn take_event(&mut self, fields: &Fields) -> Result<(), WireError> {
-        let number = self.selected(fields)?;
-        let Some(instance) = self.instances.get_mut(&number) else { return Ok(()) };
+    fn process_event_line(&mut self, fields: &Fields) -> Result<(), WireError> {
+        let instance_id = self.selected(fields)?;
+        let Some(instance) = self.instances.get_mut(&instance_id) else { return Ok(()) };
         if let Some(event) = read_event(fields, &mut instance.site, self.now)? {
-            self.handle(number, event);
+            self.handle(instance_id, event);
         }
         Ok(())
     }
 
-    fn handle(&mut self, number: u32, event: Event) {
-        if let Some(instance) = self.instances.get_mut(&number) {
-            let reply = self.replies.entry(number).or_default();
+    fn handle(&mut self, instance_id: u32, event: Event) {
+        if let Some(instance) = self.instances.get_mut(&instance_id) {
+            let reply = self.replies.entry(instance_id).or_default();
             instance.handle(self.now, event, reply);
         }
     }
--- a/crates/simhost/src/lib.rs
+++ b/crates/simhost/src/lib.rs
@@ -1,7 +1,8 @@
-//! The policy engines of many gateways on the simulator's text protocol. Nothing here decides.
+//! Adapter that runs the policy engines of many gateways behind the simulator's text protocol. It makes no decisions of
+//! its own.
 //!
-//! The names of the protocol (`KNOCK`, `ROUTE`, `FLEET`, ...) stand in [`decode`] and [`encode`] alone, which map them to
-//! the terms of the policy crate. [`host`] follows batches of lines, [`instance`] is one gateway.
+//! [`decode`] and [`encode`] map the protocol's messages (`KNOCK`, `ROUTE`, ...) and fields to the types of the policy
+//! crate. [`host`] handles batches, instance selection and endpoint lists; [`instance`] runs one gateway.
 
 mod decode;
 mod encode;
--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -1,4 +1,4 @@
-//! The decisions on the simulator's wire: batches on standard input, replies on standard output.
+//! Runs the policy engines for the simulator: reads batches from standard input and writes replies to standard output.
 
 use lanespan_simhost::Host;
 use std::io::{self, BufRead, BufWriter, Write};
@@ -14,7 +14,7 @@
         if input.read_line(&mut line)? == 0 {
             return Ok(host.finish()?);
         }
-        if let Some(reply) = host.line(line.trim_end_matches(['\n', '\r']))? {
+        if let Some(reply) = host.process_line(line.trim_end_matches(['\n', '\r']))? {
             output.write_all(reply.as_bytes())?;
             output.flush()?;
         }
@@ -24,8 +24,8 @@
 fn main() -> ExitCode {
     match run() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(e) => {
-            eprintln!("lanespan-wirehost: {e}");
+        Err(error) => {
+            eprintln!("lanespan-wirehost: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/simhost/tests/session.rs
+++ b/crates/simhost/tests/session.rs
@@ -1,23 +1,24 @@
-//! A recorded session on the simulator's wire: the same input leads to the same bytes.
+//! Replays a recorded session of the simulator's protocol and compares the replies byte for byte.
 //!
-//! The input has every message, list scope and outcome, and lines that are refused. It is played with the decisions as
-//! they are: a change that is meant to decide otherwise renews the output, and says so; one that is not must leave it.
+//! The input contains every message type, list scope and outcome, and invalid lines. The replies depend on the policy
+//! engine's decisions: a change that alters decisions on purpose must update the recorded output and say so, and any
+//! other change must not affect it.
 
 use lanespan_simhost::Host;
 
 const INPUT: &str = include_str!("fixtures/session.in.txt");
 const OUTPUT: &str = include_str!("fixtures/session.out.txt");
 
-/// Replies as they go out; for a line that is refused, its number.
-fn play(input: &str) -> String {
+/// Returns the replies to the input, with a line `ERROR line N` for each invalid line.
+fn replay(input: &str) -> String {
     let mut host = Host::default();
     let mut output = String::new();
     for line in input.lines() {
-        match host.line(line) {
+        match host.process_line(line) {
             Ok(reply) => output.push_str(&reply.unwrap_or_default()),
             Err(error) => {
                 let error = error.to_string();
-                let place = error.split(": ").next().expect("a place");
+                let place = error.split(": ").next().expect("the error starts with its line");
                 output.push_str(&format!("ERROR {place}\n"));
             }
         }
@@ -29,21 +30,23 @@
 }
 
 #[test]
-fn a_recorded_session_gets_the_recorded_replies() {
-    let output = play(INPUT);
-    let differs = output.lines().zip(OUTPUT.lines()).position(|(now, recorded)| now != recorded);
+fn replayed_session_produces_the_recorded_replies() {
+    let output = replay(INPUT);
+    let first_difference =
+        output.lines().zip(OUTPUT.lines()).position(|(actual, recorded)| actual != recorded);
     assert!(
         output == OUTPUT,
-        "line {} of the replies differs; {} lines, {} recorded",
-        differs.map_or(0, |line| line + 1),
+        "replies differ from line {}: {} lines, {} recorded",
+        first_difference.map_or(0, |line| line + 1),
         output.lines().count(),
         OUTPUT.lines().count()
     );
 }
 
 #[test]
-fn the_recorded_session_has_every_message_and_reply() {
-    let has = |text: &str, part: &str| text.lines().any(|line| line.starts_with(part) || line.contains(part));
+fn recorded_session_covers_every_message_and_reply() {
+    let contains =
+        |text: &str, part: &str| text.lines().any(|line| line.starts_with(part) || line.contains(part));
     let messages = [
         "TICK ",
         "FOR ",
@@ -83,7 +86,7 @@
         "membership_mode=subscribe",
     ];
     for part in messages.iter().chain(&values) {
-        assert!(has(INPUT, part), "{part}");
+        assert!(contains(INPUT, part), "{part}");
     }
     let replies = [
         "AS who=",
@@ -99,6 +102,6 @@
         "ERROR ",
     ];
     for part in replies {
-        assert!(has(OUTPUT, part), "{part}");
+        assert!(contains(OUTPUT, part), "{part}");
     }
 }
