--- a/crates/lanespan/tests/platform.rs
+++ b/crates/lanespan/tests/platform.rs
@@ -190,14 +190,13 @@
 
 #[test]
 fn an_endpoint_in_an_unknown_state_does_not_hide_the_other_endpoints() {
-    let (known, unknown) =
-        (Stub::start(|_| http("200 OK", "known")), Stub::start(|_| http("200 OK", "unknown")));
-    let discovery = Discovery::start(&member("s-unknown", unknown.address, "ready"));
+    let (known, unknown) = (Stub::start(|_| http("200 OK", "known")), Stub::start(|_| http("200 OK", "odd")));
+    let discovery = Discovery::start(&member("s-odd", unknown.address, "ready"));
     let counter = counter();
     let node = Node::start(&discovery, &counter);
-    assert_eq!(node.client().exchange(&request("look", 3000)).body, "unknown");
+    assert_eq!(node.client().exchange(&request("look", 3000)).body, "odd");
     let members =
-        [member("s-unknown", unknown.address, "hibernating"), member("s-known", known.address, "ready")];
+        [member("s-odd", unknown.address, "hibernating"), member("s-known", known.address, "ready")];
     discovery.publish(42, false, &members.join(","));
     for _ in 0..8 {
         assert_eq!(
--- a/crates/lanespan/tests/races.rs
+++ b/crates/lanespan/tests/races.rs
@@ -104,7 +104,7 @@
 }
 
 /// The text that ends the late listener's accept loop.
-const END_OF_TEST: &str = "end of test";
+const END_OF_TEST: &str = "no more comes";
 
 #[test]
 fn a_flood_of_connections_is_served_eventually_within_the_descriptor_limit() {
--- a/crates/lanespan/tests/sockets/main.rs
+++ b/crates/lanespan/tests/sockets/main.rs
@@ -20,11 +20,11 @@
 
 #[test]
 fn requests_and_response_bodies_are_forwarded_unchanged() {
-    let (backend, _discovery, counter, node) = gateway_with_backend(|_| http("200 OK", "the response"));
+    let (backend, _discovery, counter, node) = gateway_with_backend(|_| http("200 OK", "the answer"));
     let mut client = node.client();
     for class in ["look", "buy", "once"] {
         let response = client.exchange(&request(class, 3000));
-        assert_eq!((response.status(), response.body.as_str()), (200, "the response"));
+        assert_eq!((response.status(), response.body.as_str()), (200, "the answer"));
     }
     let seen = backend.requests();
     assert_eq!(seen.len(), 3, "one attempt per request");
