--- a/crates/lanespan/src/main.rs
+++ b/crates/lanespan/src/main.rs
@@ -69,12 +69,12 @@
         }
     };
     let ignored = config.ignored();
-    let mut text = format!("{path}: sound\n{path}: {}\n", read_as(source.origin));
+    let mut text = format!("{path}: valid\n{path}: {}\n", read_as(source.origin));
     if !ignored.keys.is_empty() {
-        text.push_str(&format!("{path}: passed over, as not the gateway's: {}\n", ignored.summary()));
+        text.push_str(&format!("{path}: ignored, as not the gateway's: {}\n", ignored.summary()));
     }
     for line in &ignored.unreadable {
-        text.push_str(&format!("{path}: passed over: {line}\n"));
+        text.push_str(&format!("{path}: ignored: {line}\n"));
     }
     print(&text)
 }
@@ -86,7 +86,7 @@
             "read as an operator's, in which every key is the gateway's; --platform reads the platform's"
         }
         Origin::Platform => {
-            "read as the platform's, in which keys that the gateway does not know are passed over"
+            "read as the platform's, in which keys that the gateway does not know are ignored"
         }
     }
 }
--- a/crates/lanespan/tests/platform.rs
+++ b/crates/lanespan/tests/platform.rs
@@ -156,7 +156,7 @@
     for output in [check(&path, &["--platform"], false), check(&path, &[], true)] {
         let stdout = String::from_utf8(output.stdout).expect("UTF-8 text");
         assert_eq!(output.status.code(), Some(0), "{stdout}");
-        for line in ["sound", "read as the platform's", "passed over, as not the gateway's: admin"] {
+        for line in [": valid\n", "read as the platform's", "ignored, as not the gateway's: admin"] {
             assert!(stdout.contains(line), "{line}: {stdout}");
         }
     }
