--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -129,7 +129,7 @@
     Class,
     /// A plan has a number that is negative or not finite.
     PlanNumbers,
-    /// A plan has a rate without a burst, or a ceiling without a burst.
+    /// A plan has a rate without a burst, or a ceiling rate without a ceiling burst.
     PlanBurst,
 }
 
@@ -137,15 +137,19 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(match self {
             SettingsError::Gateways => {
-                "gateways: expected at least 1, and the index of this gateway below their number"
+                "balancers, my_number: expected at least 1 gateway, and the number of this gateway below their count"
             }
-            SettingsError::MaxAttempts => "max_attempts: expected at least 1",
+            SettingsError::MaxAttempts => "bounds.max_attempts: expected at least 1",
             SettingsError::BackendNumbers => {
-                "cold_from, fall_multiple, most_units: expected finite numbers of 0 or more"
+                "rules.cold_from, rules.fall_multiple, specifics.units_top: expected finite numbers of 0 or more"
+            }
+            SettingsError::Class => {
+                "classes: expected a finite credit and late_share of 0 or more, and a deadline above 0"
+            }
+            SettingsError::PlanNumbers => "plans: expected finite numbers of 0 or more",
+            SettingsError::PlanBurst => {
+                "plans: expected peak_units above 0 with a per_second, and cap_depth above 0 with a ceiling_rate"
             }
-            SettingsError::Class => "class: expected a finite worth of 0 or more and a deadline above 0",
-            SettingsError::PlanNumbers => "plan: expected finite numbers of 0 or more",
-            SettingsError::PlanBurst => "plan: expected a burst above 0 for a rate or ceiling rate above 0",
         })
     }
 }
