--- a/crates/policy/examples/decision_trace/simulation.rs
+++ b/crates/policy/examples/decision_trace/simulation.rs
@@ -40,7 +40,7 @@
     give_up_at: u64,
     outcome: Outcome,
     ends: u64,
-    /// Whether the transfer has started, so that the give-up time no longer applies.
+    /// Whether the transfer has started or the attempt was cancelled, so that the give-up time no longer applies.
     committed: bool,
 }
 
@@ -73,7 +73,7 @@
     now: u64,
     serial: u64,
     schedule_queue: BTreeMap<(u64, u64), SimulationEvent>,
-    instances: Vec<Gateway>,
+    gateways: Vec<Gateway>,
     backends: Vec<Backend>,
     counter: Counter,
     in_flight: BTreeMap<AttemptKey, AttemptInFlight>,
@@ -92,7 +92,7 @@
             now: START,
             serial: 0,
             schedule_queue: BTreeMap::new(),
-            instances: Vec::new(),
+            gateways: Vec::new(),
             backends,
             counter: Counter::new(scenario.counter.clone()),
             in_flight: BTreeMap::new(),
@@ -103,8 +103,8 @@
         };
         simulation.check_settings();
         for number in 0..scenario.gateways {
-            let instance = simulation.start_gateway(number, 0);
-            simulation.instances.push(instance);
+            let gateway = simulation.start_gateway(number, 0);
+            simulation.gateways.push(gateway);
             simulation.send_list(number as usize, EndpointListScope::Complete);
         }
         simulation.schedule(0, SimulationEvent::Arrivals);
@@ -125,13 +125,14 @@
     /// Records which settings are valid.
     fn check_settings(&mut self) {
         let valid = &self.scenario.settings;
-        let mut class = valid.classes[0].clone();
-        class.priority_weight = -1.0;
+        let mut negative_weight = valid.classes[0].clone();
+        negative_weight.priority_weight = -1.0;
         let mut without_deadline = valid.classes[0].clone();
         without_deadline.deadline = Micros(0);
         let without_burst = QuotaPlan { rate: 1.0, burst: 0.0, ..valid.plans[0].clone() };
-        let ceiling = QuotaPlan { ceiling_rate: 1.0, ceiling_burst: 0.0, ..valid.plans[0].clone() };
-        let negative = QuotaPlan { max_concurrent: -1.0, ..valid.plans[0].clone() };
+        let ceiling_without_burst =
+            QuotaPlan { ceiling_rate: 1.0, ceiling_burst: 0.0, ..valid.plans[0].clone() };
+        let negative_concurrency = QuotaPlan { max_concurrent: -1.0, ..valid.plans[0].clone() };
         let infinite_cost = QuotaPlan { over_quota_cost: f64::INFINITY, ..valid.plans[0].clone() };
         let cases = [
             valid.clone(),
@@ -141,11 +142,11 @@
             Settings { cold_capacity_share: -0.1, ..valid.clone() },
             Settings { overload_multiple: f64::NAN, ..valid.clone() },
             Settings { max_request_units: -1.0, ..valid.clone() },
-            Settings { classes: vec![class], ..valid.clone() },
+            Settings { classes: vec![negative_weight], ..valid.clone() },
             Settings { classes: vec![without_deadline], ..valid.clone() },
             Settings { plans: vec![without_burst], ..valid.clone() },
-            Settings { plans: vec![ceiling], ..valid.clone() },
-            Settings { plans: vec![negative], ..valid.clone() },
+            Settings { plans: vec![ceiling_without_burst], ..valid.clone() },
+            Settings { plans: vec![negative_concurrency], ..valid.clone() },
             Settings { plans: vec![infinite_cost], ..valid.clone() },
         ];
         let mut line = vec![trace::SETTINGS_CHECK];
@@ -161,7 +162,7 @@
 
     /// Delivers an event to a gateway after a delay, unless the gateway restarts in between.
     fn deliver(&mut self, gateway: usize, after: u64, event: Event) {
-        let incarnation = self.instances[gateway].incarnation;
+        let incarnation = self.gateways[gateway].incarnation;
         self.schedule(after, SimulationEvent::Deliver(gateway, incarnation, event));
     }
 
@@ -184,7 +185,7 @@
             SimulationEvent::Arrivals => self.arrivals(),
             SimulationEvent::Retry(gateway, client_request) => self.arrive(gateway, client_request),
             SimulationEvent::Deliver(gateway, incarnation, event) => {
-                if self.instances[gateway].incarnation == incarnation {
+                if self.gateways[gateway].incarnation == incarnation {
                     self.handle(gateway, event);
                 }
             }
@@ -204,7 +205,7 @@
         self.events += 1;
         let clock_skew = if self.rng.u32(0..200) == 0 { self.rng.u64(0..3_000) } else { 0 };
         let mut actions = Vec::new();
-        self.instances[gateway].engine.handle(Micros(self.now - clock_skew), event, &mut actions);
+        self.gateways[gateway].engine.handle(Micros(self.now - clock_skew), event, &mut actions);
         for action in actions {
             let mut line = vec![self.now, gateway as u64];
             line.extend(trace::encode(&action));
@@ -255,7 +256,7 @@
                 self.deliver(gateway, delay.0 + timer_delay, Event::TimerFired(timer));
             }
             Action::SubscribeEndpoints => {
-                self.instances[gateway].subscribed = true;
+                self.gateways[gateway].subscribed = true;
                 self.send_list(gateway, EndpointListScope::Complete);
             }
             Action::FetchEndpoints => self.send_list(gateway, EndpointListScope::Complete),
@@ -270,10 +271,10 @@
         if self.now + gap < self.arrivals_end() {
             self.schedule(gap.max(1), SimulationEvent::Arrivals);
         }
-        let draw_attempt = self.rng.f64();
+        let sample = self.rng.f64();
         let busiest = (self.now / (4 * SECOND)) * 5; // The busiest customers change every four seconds.
-        let customer = (busiest + (draw_attempt * draw_attempt * self.scenario.customers as f64) as u64)
-            % self.scenario.customers;
+        let customer =
+            (busiest + (sample * sample * self.scenario.customers as f64) as u64) % self.scenario.customers;
         let class = self.rng.usize(0..self.scenario.settings.classes.len());
         let units = [0.0, 0.5, 1.0, 1.0, 1.0, 1.0, 2.0, 4.0][self.rng.usize(0..8)];
         let gateway = self.gateway_for(customer);
@@ -285,8 +286,8 @@
     }
 
     fn gateway_for(&mut self, customer: u64) -> usize {
-        let through = u64::from(self.spread(customer).min(self.scenario.gateways));
-        ((customer * 7 + self.rng.u64(0..through)) % u64::from(self.scenario.gateways)) as usize
+        let spread = u64::from(self.spread(customer).min(self.scenario.gateways));
+        ((customer * 7 + self.rng.u64(0..spread)) % u64::from(self.scenario.gateways)) as usize
     }
 
     fn arrive(&mut self, gateway: usize, client_request: ClientRequest) {
@@ -325,12 +326,12 @@
             self.schedule(after, SimulationEvent::ClientDisconnects(gateway, request));
         }
         let open = OpenRequest { client_request, arrived: self.now, attempts: 0, answered: false };
-        self.instances[gateway].open.insert(request, open);
+        self.gateways[gateway].open.insert(request, open);
         self.handle(gateway, Event::RequestArrived(arrival));
     }
 
     fn answered(&mut self, gateway: usize, request: RequestId, retry_after: Option<u64>, retries: f64) {
-        let Some(open) = self.instances[gateway].open.get_mut(&request.0) else { return };
+        let Some(open) = self.gateways[gateway].open.get_mut(&request.0) else { return };
         if std::mem::replace(&mut open.answered, true) {
             return;
         }
@@ -346,7 +347,7 @@
     }
 
     fn client_disconnects(&mut self, gateway: usize, request: u64) {
-        if let Some(open) = self.instances[gateway].open.get_mut(&request) {
+        if let Some(open) = self.gateways[gateway].open.get_mut(&request) {
             open.answered = true;
         }
         self.handle(gateway, Event::ClientDisconnected(RequestId(request)));
@@ -356,7 +357,7 @@
 /// Attempts at backends.
 impl Simulation<'_> {
     fn send(&mut self, gateway: usize, request: RequestId, backend: BackendId, give_up: u64, begin_by: u64) {
-        let Some(open) = self.instances[gateway].open.get_mut(&request.0) else { return };
+        let Some(open) = self.gateways[gateway].open.get_mut(&request.0) else { return };
         let (attempt, class) = (open.attempts, open.client_request.class);
         open.attempts += 1;
         let key = (gateway, request.0, attempt);
@@ -443,7 +444,7 @@
         } else {
             LoadReport::default()
         };
-        let Some(open) = self.instances[key.0].open.get_mut(&key.1) else { return };
+        let Some(open) = self.gateways[key.0].open.get_mut(&key.1) else { return };
         let ended = open.answered || outcome == Outcome::Success;
         open.answered = ended;
         let settles = outcome == Outcome::Success && self.rng.f64() < self.scenario.settled_units;
@@ -484,7 +485,7 @@
             Event::ClientDisconnected(request),
         ];
         let number = self.rng.usize(0..events.len());
-        if let Some(open) = self.instances[gateway].open.get_mut(&request.0).filter(|_| number == 8) {
+        if let Some(open) = self.gateways[gateway].open.get_mut(&request.0).filter(|_| number == 8) {
             open.answered = true;
         }
         let event = events.into_iter().nth(number).expect("the index is in range");
@@ -506,8 +507,8 @@
             self.change_list();
         }
         if self.rng.f64() < self.scenario.lost_subscriptions {
-            let gateway = self.rng.usize(0..self.instances.len());
-            self.instances[gateway].subscribed = false;
+            let gateway = self.rng.usize(0..self.gateways.len());
+            self.gateways[gateway].subscribed = false;
             self.deliver(
                 gateway,
                 1,
@@ -515,19 +516,19 @@
             );
         }
         if self.rng.f64() < self.scenario.gateway_restarts {
-            let gateway = self.rng.usize(0..self.instances.len());
+            let gateway = self.rng.usize(0..self.gateways.len());
             self.restart_gateway(gateway);
         }
         // Drops requests that arrived more than 60 s ago.
         let oldest = self.now - 60 * SECOND;
-        for instance in &mut self.instances {
-            instance.open.retain(|_, open| open.arrived > oldest);
+        for gateway in &mut self.gateways {
+            gateway.open.retain(|_, open| open.arrived > oldest);
         }
     }
 
     fn restart_gateway(&mut self, gateway: usize) {
-        let incarnation = self.instances[gateway].incarnation + 1;
-        self.instances[gateway] = self.start_gateway(gateway as u32, incarnation);
+        let incarnation = self.gateways[gateway].incarnation + 1;
+        self.gateways[gateway] = self.start_gateway(gateway as u32, incarnation);
         self.in_flight.retain(|key, _| key.0 != gateway);
         self.send_list(gateway, EndpointListScope::Complete);
     }
@@ -568,7 +569,7 @@
                 self.announce(backend);
             }
             _ => {
-                let gateway = self.rng.usize(0..self.instances.len());
+                let gateway = self.rng.usize(0..self.gateways.len());
                 self.send_list(gateway, EndpointListScope::Complete);
             }
         }
@@ -590,9 +591,9 @@
     /// Sends one backend's entry to every gateway that receives changes, and the complete list to some of them.
     fn announce(&mut self, backend: usize) {
         let entry = self.backends[backend].endpoint();
-        for gateway in 0..self.instances.len() {
+        for gateway in 0..self.gateways.len() {
             let is_unsubscribed =
-                self.scenario.settings.endpoint_subscription && !self.instances[gateway].subscribed;
+                self.scenario.settings.endpoint_subscription && !self.gateways[gateway].subscribed;
             if is_unsubscribed {
                 continue;
             }
@@ -623,14 +624,14 @@
         if self.now + SNAPSHOT_INTERVAL < self.arrivals_end() + DRAIN_TIME {
             self.schedule(SNAPSHOT_INTERVAL, SimulationEvent::TakeSnapshots);
         }
-        let gateway = self.rng.usize(0..self.instances.len());
+        let gateway = self.rng.usize(0..self.gateways.len());
         for _ in 0..3 {
             let backend = self.rng.u64(0..self.backends.len() as u64 + 1);
-            let engine = &mut self.instances[gateway].engine;
-            let may = engine.may_preconnect(Micros(self.now), BackendId(backend));
-            self.trace.record(&[trace::PRECONNECT, gateway as u64, backend, u64::from(may)]);
+            let engine = &mut self.gateways[gateway].engine;
+            let may_preconnect = engine.may_preconnect(Micros(self.now), BackendId(backend));
+            self.trace.record(&[trace::PRECONNECT, gateway as u64, backend, u64::from(may_preconnect)]);
         }
-        let engine = &self.instances[gateway].engine;
+        let engine = &self.gateways[gateway].engine;
         self.trace.record(&[trace::TRACKED_ITEMS, self.now, engine.tracked_items() as u64]);
         let snapshot = engine.snapshot();
         self.trace.record(&[
--- a/crates/policy/examples/decision_trace/trace.rs
+++ b/crates/policy/examples/decision_trace/trace.rs
@@ -32,12 +32,12 @@
     }
 }
 
-/// Mixes the bits of a number with the finaliser of SplitMix64.
-fn mix(x: u64) -> u64 {
-    let x = x.wrapping_add(0x9e37_79b9_7f4a_7c15);
-    let x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-    let x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-    x ^ (x >> 31)
+/// Mixes the bits of a number with the finalizer of SplitMix64.
+fn mix(value: u64) -> u64 {
+    let value = value.wrapping_add(0x9e37_79b9_7f4a_7c15);
+    let value = (value ^ (value >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+    let value = (value ^ (value >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
+    value ^ (value >> 31)
 }
 
 /// First number of each kind of line that does not record an action.
--- a/crates/policy/tests/large_fleets.rs
+++ b/crates/policy/tests/large_fleets.rs
@@ -335,18 +335,23 @@
     let (mut at_cold, mut at_failing) = (Vec::new(), 0);
     for _ in 0..32 {
         harnesses.iter_mut().for_each(step);
-        let mut may = |backend| {
+        let mut allowed_gateways = |backend| {
             harnesses
                 .iter_mut()
-                .filter_map(|r| r.engine.may_preconnect(Micros(r.now), backend).then_some(()))
+                .filter_map(|harness| {
+                    harness.engine.may_preconnect(Micros(harness.now), backend).then_some(())
+                })
                 .count()
         };
-        assert_eq!((may(draining), may(healthy), may(BackendId(99))), (0, 100, 0));
-        at_cold.push(may(cold));
-        at_failing += usize::from(may(failing) == 100);
+        assert_eq!(
+            (allowed_gateways(draining), allowed_gateways(healthy), allowed_gateways(BackendId(99))),
+            (0, 100, 0)
+        );
+        at_cold.push(allowed_gateways(cold));
+        at_failing += usize::from(allowed_gateways(failing) == 100);
     }
     // All gateways together may send a few requests to the cold backend in each time slot of a quarter of a second.
-    assert!(at_cold.iter().all(|may| *may <= 10), "{at_cold:?}");
+    assert!(at_cold.iter().all(|allowed| *allowed <= 10), "{at_cold:?}");
     assert!(at_cold.iter().sum::<usize>() > 0, "{at_cold:?}");
     assert_eq!(at_failing, 0, "gateways that tried the failing backend do not preconnect to it");
 }
@@ -377,7 +382,7 @@
 }
 
 #[test]
-fn a_window_that_no_gateway_tracked_grants_a_share_of_its_refill_while_all_requests_query() {
+fn a_window_that_no_gateway_observed_grants_a_share_of_its_refill_while_all_requests_query() {
     let mut harness = gateway_of(100, 3, 60);
     // Each customer sends one request, and its window has this total. The quota is a burst of 20 units and 20 units of
     // refill in the two seconds of the window.
--- a/crates/policy/tests/quota_window.rs
+++ b/crates/policy/tests/quota_window.rs
@@ -184,7 +184,7 @@
                     .for_each(|(_, s)| drop(harness.end_attempt(id, 0, *s, Outcome::Success)));
             }
         }
-        let mut admitted_unverified = 0;
+        let mut admitted = 0;
         for _ in 0..300 {
             harness.advance(100 * MILLISECOND);
             let (id, mut out) = harness.request(0, 0, 1, 1.0);
@@ -195,10 +195,10 @@
                     total: 0.0,
                 }));
             }
-            admitted_unverified += forwards(&out).len();
+            admitted += forwards(&out).len();
             forwards(&out).iter().for_each(|(_, s)| drop(harness.end_attempt(id, 0, *s, Outcome::Success)));
         }
-        admitted_unverified
+        admitted
     };
     let (alone, beside) = (admitted_unverified(0.0), admitted_unverified(12.0));
     assert!(alone * 4 > beside * 5, "{alone} admitted alone, {beside} beside other gateways");
