--- a/crates/policy/src/balancer.rs
+++ b/crates/policy/src/balancer.rs
@@ -2,7 +2,8 @@
 //!
 //! A backend is *eligible* for a request if it is in service, an attempt there is safe and slow start allows it. It is
 //! *available* if it is neither excluded nor busy with its trial attempt. It is a *candidate* if it is both eligible
-//! and available, and below its concurrency limit.
+//! and available, and below its concurrency limit. If no backend is available, each eligible backend without an attempt
+//! in flight is a candidate.
 //!
 //! Each submodule implements one rule:
 //!
@@ -32,7 +33,8 @@
 use slow_start::SlowStartSettings;
 use std::collections::BTreeMap;
 
-/// An answer is late if its latency plus [`LATE_MARGIN_LATENCIES`] exceeds this share of the latency objective.
+/// An answer is late if its latency plus a margin of [`LATE_MARGIN_LATENCIES`] exceeds this share of the latency
+/// objective.
 const LATE_OBJECTIVE_SHARE: f64 = 0.85;
 /// Safety margin added to the latency of an answer, as a multiple of the backend's average latency.
 const LATE_MARGIN_LATENCIES: u64 = 2;
--- a/crates/policy/src/balancer/concurrency_limit.rs
+++ b/crates/policy/src/balancer/concurrency_limit.rs
@@ -9,7 +9,7 @@
 /// Factor applied to the limit on overload.
 const DECREASE_FACTOR: f64 = 0.7;
 /// Added to the limit by a fast answer, in attempts.
-const INCREASE: f64 = 0.03;
+const INCREASE_PER_FAST_ANSWER: f64 = 0.03;
 /// An answer within this share of the latency objective is fast.
 const FAST_OBJECTIVE_SHARE: f64 = 0.25;
 
@@ -47,7 +47,7 @@
     /// Raises the limit after a fast answer if the limit was in use, since the backend could handle more.
     pub(super) fn increase_if_fast(&mut self, in_use: bool, latency: Micros, objective: Micros) {
         if in_use && latency < objective.mul_f64(FAST_OBJECTIVE_SHARE) {
-            self.0 += INCREASE;
+            self.0 += INCREASE_PER_FAST_ANSWER;
         }
     }
 }
--- a/crates/policy/src/balancer/outlier_detection.rs
+++ b/crates/policy/src/balancer/outlier_detection.rs
@@ -6,8 +6,8 @@
 
 /// Smoothed failure share above which a backend is an outlier; four consecutive failures exceed it.
 const OUTLIER_FAILURE_SHARE: f64 = 0.3;
-/// An outlier's failure share exceeds this multiple of the share over all backends, so that an overload does not eject
-/// them one by one.
+/// An outlier's failure share exceeds this multiple of the share of failed or late attempts at all backends, so that an
+/// overload does not eject them one by one.
 const OUTLIER_FACTOR: f64 = 2.0;
 /// Duration of the first ejection. A backend that was unreachable for longer is assumed to have restarted.
 pub(super) const BASE_EJECTION_TIME: Micros = Micros::from_secs(1);
@@ -68,8 +68,8 @@
         self.unreachable_since.take()
     }
 
-    /// Records a failure, and ejects the backend if it is an outlier. This keeps requests away from backends that fail
-    /// fast, hang or are unreachable.
+    /// Records a failure. Ejects the backend if it is an outlier, unreachable or has failed its trial; a rejected
+    /// attempt only pauses it. This keeps requests away from backends that fail fast, hang or are unreachable.
     pub(super) fn record_failure(
         &mut self,
         outcome: Outcome,
--- a/crates/policy/src/balancer/selection.rs
+++ b/crates/policy/src/balancer/selection.rs
@@ -5,17 +5,17 @@
 use crate::hash::unit_interval;
 use crate::{BackendId, Micros};
 
-/// Attempts that a gateway with fractional limits may always have in flight, whatever the sum of its limits. A smaller
-/// number would delay requests that happen to arrive at the same moment.
-const MIN_IN_FLIGHT_FRACTIONAL: f64 = 2.0;
-/// Attempts that any other gateway may always have in flight.
-const MIN_IN_FLIGHT: f64 = 1.0;
+/// Lower bound of the total limit on attempts in flight at a gateway with fractional limits. A smaller number would
+/// delay requests that happen to arrive at the same moment.
+const MIN_TOTAL_LIMIT_FRACTIONAL: f64 = 2.0;
+/// Lower bound of the total limit on attempts in flight at any other gateway.
+const MIN_TOTAL_LIMIT: f64 = 1.0;
 /// Weight of a backend's failure share in its expected wait.
 const FAILURE_PENALTY: f64 = 3.0;
-/// Added to the expected wait for each earlier attempt of the same request at this backend, in attempts.
-const REPEAT_PENALTY: f64 = 4.0;
+/// Added to the expected wait for each earlier attempt of the same request at this backend.
+const REPEAT_PENALTY_ATTEMPTS: f64 = 4.0;
 /// Relative increase of the expected wait for a backend in another zone.
-const OTHER_ZONE_PENALTY: f64 = 0.05;
+const OTHER_ZONE_PENALTY_SHARE: f64 = 0.05;
 /// Largest random increase of the expected wait, as a share of it.
 const RANDOM_SHARE: f64 = 0.1;
 /// Factor applied to the expected wait of a backend that awaits its trial, or of a cold one that this gateway may send
@@ -36,8 +36,8 @@
 }
 
 impl Balancer {
-    /// Returns the candidate with the shortest expected wait. Backends outside the subset are used only if the subset
-    /// has no candidate.
+    /// Returns the candidate with the shortest expected wait. The search ends with the subset, in which only warm
+    /// backends are counted, or later with the first candidate outside it.
     pub(crate) fn select(&mut self, rules: &AttemptRules, random: &mut fastrand::Rng) -> Option<BackendId> {
         let now = rules.now;
         self.update_slow_start(now);
@@ -64,11 +64,12 @@
         available.map(|backend| backend.concurrency_limit.scaled(limit_scale)).sum()
     }
 
-    /// Returns whether the attempts in flight at all backends have reached the sum of the limits. The sum is enforced
-    /// because a single limit may be below one attempt where many gateways share the backends.
+    /// Returns whether the attempts in flight at all backends have reached the sum of the limits, raised to its lower
+    /// bound. The sum is enforced because a single limit may be below one attempt where many gateways share the
+    /// backends.
     fn is_at_limit(&self, total_limit: f64, fractional_limits: bool) -> bool {
-        let min_in_flight = if fractional_limits { MIN_IN_FLIGHT_FRACTIONAL } else { MIN_IN_FLIGHT };
-        total_limit > 0.0 && self.in_flight >= total_limit.max(min_in_flight)
+        let min_total_limit = if fractional_limits { MIN_TOTAL_LIMIT_FRACTIONAL } else { MIN_TOTAL_LIMIT };
+        total_limit > 0.0 && self.in_flight >= total_limit.max(min_total_limit)
     }
 
     fn best_candidate(&self, context: &SelectionContext, subset_size: usize) -> Option<BackendId> {
@@ -111,11 +112,11 @@
         let relative_latency = self.health.relative_latency(backend.latency);
         let queue = backend.in_flight + backend.streams + 1.0;
         let failure_factor = 1.0 + FAILURE_PENALTY * backend.outlier.failure_share();
-        let repeat_penalty = REPEAT_PENALTY * request.attempts_at(id) as f64;
+        let repeat_penalty = REPEAT_PENALTY_ATTEMPTS * request.attempts_at(id) as f64;
         let wait = queue * relative_latency / backend.weight * failure_factor + repeat_penalty;
         let random_increase = RANDOM_SHARE * unit_interval(context.salt ^ id.0);
         let same_zone = backend.zone == self.settings.zone;
-        let zone_penalty = if same_zone { 0.0 } else { OTHER_ZONE_PENALTY * context.limit_scale };
+        let zone_penalty = if same_zone { 0.0 } else { OTHER_ZONE_PENALTY_SHARE * context.limit_scale };
         let wait = wait * (1.0 + random_increase + zone_penalty);
         // Without this preference a backend that awaits its trial would never be tried, and a slow-start slot would
         // expire unused.
--- a/crates/policy/src/balancer/slow_start.rs
+++ b/crates/policy/src/balancer/slow_start.rs
@@ -8,14 +8,14 @@
 
 /// An allowance level that permits exactly one request of any size: any level above zero permits one, which may take
 /// the level below zero.
-const ONE_REQUEST: f64 = 1e-9;
-/// Capacity of an allowance, in units.
-const MAX_ALLOWANCE: f64 = 1.0;
+const ONE_REQUEST_LEVEL_UNITS: f64 = 1e-9;
+/// Capacity of an allowance.
+const MAX_ALLOWANCE_UNITS: f64 = 1.0;
 /// A cold backend is sent at most this share of the load that would overload it.
-const OVERLOAD_MARGIN: f64 = 0.5;
+const MAX_OVERLOAD_SHARE: f64 = 0.5;
 /// While the sum of all weights is at most this multiple of the usable warm weights, a cold backend's share is derived
 /// from the work of a warm one. Beyond it, the work is divided by the weights of all backends.
-const MAX_TOTAL_TO_WARM: f64 = 3.0;
+const MAX_TOTAL_TO_WARM_RATIO: f64 = 3.0;
 /// Lower bound of the weight sum used as a divisor.
 const MIN_WEIGHT: f64 = 1e-9;
 
@@ -47,18 +47,18 @@
 
     /// Returns the share of its current capacity that a cold backend is sent.
     fn used_share(&self) -> f64 {
-        (self.overload_multiple * OVERLOAD_MARGIN).min(1.0)
+        (self.overload_multiple * MAX_OVERLOAD_SHARE).min(1.0)
     }
 }
 
 /// Slow-start state of one backend.
 #[derive(Debug, Default)]
 pub(crate) struct SlowStart {
-    /// When it started; `None` if it is warm.
+    /// When the backend started; `None` if it is warm.
     started_at: Option<Micros>,
-    /// Units that this gateway may send it while it warms up.
+    /// Units that this gateway may send to the backend while it warms up.
     allowance: TokenBucket,
-    /// The last time slot in which this gateway was permitted to send it a request.
+    /// The last time slot in which this gateway was permitted to send a request to the backend.
     last_slot: Option<u64>,
 }
 
@@ -71,7 +71,7 @@
         self.started_at
     }
 
-    /// Returns whether it warms up and this gateway has no allowance left for it.
+    /// Returns whether the backend is warming up and this gateway has no allowance left for it.
     pub(super) fn is_held_back(&self) -> bool {
         self.is_warming_up() && self.allowance.level <= 0.0
     }
@@ -81,8 +81,8 @@
         self.allowance.level -= units;
     }
 
-    /// Sets the allowance of a backend that the endpoint list reports as started to a negative level of a random number
-    /// of requests, so that gateways do not all send at the same time.
+    /// Sets the allowance of a backend that the endpoint list reports as started to a random level between one and two
+    /// of the largest requests below zero, so that gateways do not all send at the same time.
     pub(super) fn delay_first_request(&mut self, max_request_units: f64, random: f64, now: Micros) {
         self.allowance = empty_allowance(-max_request_units * (1.0 + random), now);
     }
@@ -93,7 +93,7 @@
     }
 
     /// Begins slow start after a restart that the endpoint list has not reported yet. A backend that answers again
-    /// after its connections failed for a while is treated as cold.
+    /// after its connections failed for longer than [`BASE_EJECTION_TIME`] is treated as cold.
     pub(super) fn start_if_restarted(&mut self, unreachable_since: Option<Micros>, now: Micros) {
         let restarted = unreachable_since.is_some_and(|since| now - since > BASE_EJECTION_TIME);
         if restarted && !self.is_warming_up() {
@@ -135,13 +135,13 @@
             self.allowance.level = 0.0;
         } else if slot != self.last_slot {
             self.last_slot = slot;
-            self.allowance.level = ONE_REQUEST;
+            self.allowance.level = ONE_REQUEST_LEVEL_UNITS;
         }
     }
 }
 
 fn empty_allowance(level: f64, now: Micros) -> TokenBucket {
-    TokenBucket { level, depth: MAX_ALLOWANCE, refill_rate: 0.0, updated_at: now }
+    TokenBucket { level, depth: MAX_ALLOWANCE_UNITS, refill_rate: 0.0, updated_at: now }
 }
 
 /// The rates from which the allowances of cold backends are computed.
@@ -164,8 +164,8 @@
         let rates = self.slow_start_rates(now);
         let settings = &self.settings;
         for (&backend_id, backend) in &mut self.backends {
-            let (gateway, gateways) = (settings.gateway_index, settings.gateway_count);
-            let query = SlotQuery { gateway, gateways, backend: backend_id, now };
+            let (gateway_index, gateway_count) = (settings.gateway_index, settings.gateway_count);
+            let query = SlotQuery { gateway_index, gateway_count, backend: backend_id, now };
             backend.slow_start.update(&settings.slow_start, &rates, backend.weight, query);
         }
     }
@@ -176,7 +176,7 @@
         let usable_warm = warm().filter(|backend| !backend.outlier.is_excluded(now));
         let warm_weight: f64 = usable_warm.map(|backend| backend.weight).sum();
         let total_weight: f64 = in_service().map(|backend| backend.weight).sum();
-        let enough_warm = warm_weight * MAX_TOTAL_TO_WARM >= total_weight;
+        let enough_warm = warm_weight * MAX_TOTAL_TO_WARM_RATIO >= total_weight;
         let shared_by = if enough_warm { warm_weight } else { total_weight.max(MIN_WEIGHT) };
         // Slots assigned to gateways whose subset lacks the backend are lost.
         let slots_per_request = (warm().count() as f64 / self.subset_size(now).max(1) as f64).max(1.0);
--- a/crates/policy/src/balancer/time_slots/tests.rs
+++ b/crates/policy/src/balancer/time_slots/tests.rs
@@ -2,8 +2,8 @@
 
 const GATEWAYS: u32 = 100;
 
-fn has_slot(gateway: u32, now: Micros, rate: f64) -> bool {
-    let query = SlotQuery { gateway, gateways: GATEWAYS, backend: BackendId(7), now };
+fn has_slot(gateway_index: u32, now: Micros, rate: f64) -> bool {
+    let query = SlotQuery { gateway_index, gateway_count: GATEWAYS, backend: BackendId(7), now };
     assigned_slot(query, rate).is_some()
 }
 
--- a/crates/policy/src/engine/admission.rs
+++ b/crates/policy/src/engine/admission.rs
@@ -109,11 +109,11 @@
         self.quotas.record_exhaustion(context, arrival, reply);
         // Draws a random number even if the request has been answered in the meantime, so that later draws do not
         // depend on it.
-        let worth_risk = self.quotas.is_worth_unverified_risk(arrival, reply, &mut self.random);
+        let risk_accepted = self.quotas.accepts_unverified_risk(arrival, reply, &mut self.random);
         if request.answered {
             return;
         }
-        let admitted = self.quotas.decide(context, arrival, reply, worth_risk);
+        let admitted = self.quotas.decide(context, arrival, reply, risk_accepted);
         self.quotas.record_decision(arrival, admitted);
         match admitted {
             true => self.check_concurrency(id),
--- a/crates/policy/src/engine/snapshot.rs
+++ b/crates/policy/src/engine/snapshot.rs
@@ -21,8 +21,8 @@
     pub failure_share: f64,
     /// The smoothed latency of successful attempts.
     pub latency: Micros,
-    /// Whether the backend is left out of selection: ejected as an outlier, awaiting its trial after an ejection, or
-    /// paused after it rejected an attempt.
+    /// Whether the backend is ejected as an outlier, awaits its trial after an ejection, or is paused after it rejected
+    /// an attempt.
     pub ejected: bool,
     /// Whether the backend has started recently and slow start limits its share of the load.
     pub warming_up: bool,
--- a/crates/policy/src/quota.rs
+++ b/crates/policy/src/quota.rs
@@ -49,7 +49,7 @@
 pub(crate) enum CounterReply {
     /// The shared total, including this request.
     Total(f64),
-    /// The counter was not called or did not answer.
+    /// The counter was not called, or the call failed.
     Unavailable,
 }
 
@@ -72,8 +72,8 @@
     counter: CounterClient,
     /// The share of forwarded units that was reported to the counter.
     reported_units: DecayingRatio,
-    /// For each plan, the share of units that found the quota exhausted. The sample is the first submissions for which
-    /// the counter was queried, of customers whose burst share is below one request.
+    /// For each plan, the share of units that found the quota exhausted. The sample is the requests for which the
+    /// counter was queried, without client retries, of customers whose burst share is below one request.
     exhausted_units: Vec<DecayingRatio>,
     /// Average cost of forwarding a request beyond the quota.
     average_overrun_cost: f64,
@@ -111,7 +111,8 @@
         self.customers.contains_key(&customer)
     }
 
-    /// Drops the state of customers that have been idle for longer than [`CUSTOMER_RETENTION`].
+    /// Drops the state of customers that have been idle for longer than [`CUSTOMER_RETENTION`] and have no concurrent
+    /// requests.
     pub(crate) fn forget_idle(&mut self, now: Micros) {
         let is_active = |customer: &Customer| customer.last_seen + CUSTOMER_RETENTION >= now;
         self.customers.retain(|_, customer| is_active(customer) || customer.concurrent > 0.0);
@@ -159,19 +160,19 @@
         call.map_or(WindowCheck::NotQueried, WindowCheck::Queried)
     }
 
-    /// Returns whether a request may be forwarded, by the counter's total if there is one. Otherwise `worth_risk`
-    /// states whether forwarding it unverified is worth the risk
-    /// ([`is_worth_unverified_risk`](Quotas::is_worth_unverified_risk)).
+    /// Returns whether a request may be forwarded, by the counter's total if there is one. Without a total, the request
+    /// may be forwarded only if `risk_accepted`, the result of
+    /// [`accepts_unverified_risk`](Quotas::accepts_unverified_risk), is true.
     pub(crate) fn decide(
         &mut self,
         context: QuotaContext,
         arrival: &Arrival,
         reply: CounterReply,
-        worth_risk: bool,
+        risk_accepted: bool,
     ) -> bool {
         match reply {
             CounterReply::Total(total) => self.decide_verified(context, arrival, total),
-            CounterReply::Unavailable => worth_risk && self.decide_unverified(context, arrival),
+            CounterReply::Unavailable => risk_accepted && self.decide_unverified(context, arrival),
         }
     }
 
--- a/crates/policy/src/quota/concurrency.rs
+++ b/crates/policy/src/quota/concurrency.rs
@@ -32,8 +32,8 @@
         if !self.caps_concurrency(arrival) {
             return ConcurrencyCheck::Uncapped;
         }
-        let queries = self.counter.samples_query(QUERY_EXPONENT, random);
-        if !queries || !self.begin_counter_call(context, arrival.customer) {
+        let sampled = self.counter.samples_query(QUERY_EXPONENT, random);
+        if !sampled || !self.begin_counter_call(context, arrival.customer) {
             return ConcurrencyCheck::NotQueried;
         }
         let call = self.post_request(context, CountKind::Concurrency, arrival);
@@ -46,7 +46,7 @@
     }
 
     /// Returns whether one more concurrent request is allowed, by the counter's total or else by this gateway's share
-    /// of the cap.
+    /// of the cap. Without a total, client retries are not allowed while the counter is available.
     pub(crate) fn allows_concurrent(&self, arrival: &Arrival, reply: CounterReply) -> bool {
         let cap = self.plan(arrival.plan).max_concurrent;
         match reply {
--- a/crates/policy/src/quota/counter.rs
+++ b/crates/policy/src/quota/counter.rs
@@ -245,7 +245,7 @@
             count.last_total = total;
             // The total now includes the units forwarded unverified, so other gateways take them into account. If the
             // total is within the plain window, the window accounts for them and the ceiling allowance gets them back.
-            // Otherwise requests within the quota would be rejected under a ceiling, call after call.
+            // Without this refund, requests within the quota would be rejected under a ceiling, call after call.
             if is_window && total <= QuotaWindow::of(plan).units {
                 allowance.put_back(call.carried.unverified);
             }
--- a/crates/policy/src/quota/customer.rs
+++ b/crates/policy/src/quota/customer.rs
@@ -16,7 +16,7 @@
 /// Share of its quota that a customer is assumed to use until one of its totals is known.
 const DEFAULT_USAGE_SHARE: f64 = 0.3;
 
-/// The most recent rejected request, used to recognise its retry.
+/// The most recent rejected request, used to recognize its retry.
 #[derive(Debug)]
 struct Rejection {
     class: ClassId,
--- a/crates/policy/src/quota/local_bucket.rs
+++ b/crates/policy/src/quota/local_bucket.rs
@@ -41,10 +41,11 @@
     /// Returns this gateway's share of a customer's quota: the mean of an even share among the gateways assumed to
     /// serve the customer and the share of the customer's units that passed through this gateway.
     ///
-    /// The share is raised to the part of the quota that, by past usage, the other gateways do not need. Otherwise a
-    /// customer that uses little of its quota and comes through one gateway for a while would be rejected when the
-    /// counter is unavailable or can't handle all calls. The share is too large if, during an outage of the counter, a
-    /// customer asks several gateways for more than before.
+    /// The share is raised to the part of the quota that, by past usage, the other gateways do not need, except while
+    /// the usage is unknown and the counter is unavailable. Without this rule, a customer that uses little of its quota
+    /// and uses one gateway for a while would be rejected when the counter is unavailable or can't handle all calls.
+    /// The share is too large if, during an outage of the counter, a customer asks several gateways for more than
+    /// before.
     fn local_share(&self, arrival: &Arrival) -> f64 {
         let Some(customer) = self.customers.get(&arrival.customer) else { return 0.0 };
         let even_share = 1.0 / customer.active_gateways;
--- a/crates/policy/src/quota/unverified.rs
+++ b/crates/policy/src/quota/unverified.rs
@@ -15,8 +15,8 @@
 const CHANCE_SLOPE: f64 = 1.5;
 
 impl Quotas {
-    /// Records whether a counter reply shows the quota as exhausted. Counts only first submissions of customers whose
-    /// burst share is below one request.
+    /// Records whether a counter reply shows the quota as exhausted. Ignores client retries and customers whose burst
+    /// share is at least one request.
     pub(crate) fn record_exhaustion(
         &mut self,
         context: QuotaContext,
@@ -44,10 +44,10 @@
         own + (total - own).max(0.0) / reported_share.clamp(MIN_REPORTED_SHARE, 1.0)
     }
 
-    /// Returns whether a request that is worth the risk may be forwarded without a total from the counter.
+    /// Returns whether a request may be forwarded without a total from the counter, after the risk was accepted.
     pub(super) fn decide_unverified(&mut self, context: QuotaContext, arrival: &Arrival) -> bool {
         // A client retry was rejected recently, here or at another gateway. If the local share is smaller than one
-        // request, only the counter may admit it.
+        // request, only the counter may admit it, as long as it can be queried.
         let must_query = arrival.is_client_retry
             && self.burst_share_is_below_one_request(arrival.customer)
             && !self.counter_is_unavailable(arrival.customer);
@@ -56,15 +56,16 @@
             && self.take_local(context, arrival)
     }
 
-    /// Decides at random whether forwarding a request unverified is worth the risk. The probability falls with the
-    /// share of units of the same plan that found the quota exhausted and with the net loss of a request beyond the
-    /// quota, but is at least this gateway's share of the burst, in requests. The draw is skipped for a customer with a
-    /// known total in this window, because that total decides.
+    /// Decides at random whether to accept the risk that a request forwarded unverified is beyond the quota. The
+    /// probability falls with the share of units of the same plan that found the quota exhausted and with the net loss
+    /// of a request beyond the quota, but is at least this gateway's share of the burst, in requests. The draw is
+    /// skipped for a customer with a known total in this window, because that total decides, and while the counter is
+    /// unavailable.
     ///
     /// [`take_local`](Quotas::take_local) grants at least one request at each gateway. Without this rule, the grants of
-    /// a customer's many gateways would add up to many times its burst. It may reject a request whose quota is not
-    /// exhausted while other customers ask for more than theirs.
-    pub(crate) fn is_worth_unverified_risk(
+    /// a customer's many gateways would add up to many times its burst. The rule may reject a request whose quota is
+    /// not exhausted while other customers of the plan ask for more than theirs.
+    pub(crate) fn accepts_unverified_risk(
         &self,
         arrival: &Arrival,
         reply: CounterReply,
@@ -75,10 +76,10 @@
         }
         let Some(customer) = self.customers.get(&arrival.customer) else { return false };
         let plan = &self.plans[arrival.plan.0];
-        let loss = plan.over_quota_cost - plan.over_quota_value;
+        let net_loss = plan.over_quota_cost - plan.over_quota_value;
         let exhausted_share = self.exhausted_units[arrival.plan.0].ratio_with_prior(PRIOR_UNITS);
         let burst_share_in_requests = plan.burst / (customer.gateway_spread * self.max_request_units);
-        let chance = (CHANCE_SLOPE * (1.0 - exhausted_share * (1.0 + loss))).max(burst_share_in_requests);
-        loss <= 0.0 || customer.window.count.last_total > 0.0 || chance >= 1.0 || random.f64() < chance
+        let chance = (CHANCE_SLOPE * (1.0 - exhausted_share * (1.0 + net_loss))).max(burst_share_in_requests);
+        net_loss <= 0.0 || customer.window.count.last_total > 0.0 || chance >= 1.0 || random.f64() < chance
     }
 }
--- a/crates/policy/src/timers.rs
+++ b/crates/policy/src/timers.rs
@@ -6,7 +6,7 @@
 /// The purpose of a timer.
 #[derive(Debug, Clone, Copy)]
 pub(crate) enum Timer {
-    /// A request must get its final answer now.
+    /// Give a request its final answer.
     RequestDeadline(RequestId),
     /// Retry backend selection for the requests that wait for a backend.
     WaitQueue,
