--- a/crates/gateway/src/admin.rs
+++ b/crates/gateway/src/admin.rs
@@ -105,15 +105,15 @@
 enum AdminError {
     #[error("no such path")]
     NoSuchPath,
-    #[error("only GET")]
+    #[error("method not allowed; only GET is supported")]
     MethodNotAllowed,
-    #[error("{0}")]
+    #[error("the request body can't be read: {0}")]
     UnreadableBody(Box<dyn std::error::Error + Send + Sync>),
     #[error(transparent)]
     MalformedBody(serde_json::Error),
     #[error(transparent)]
     Unserializable(serde_json::Error),
-    #[error("the driver ended")]
+    #[error("the gateway's driver has ended")]
     DriverEnded,
 }
 
--- a/crates/gateway/src/replication/peers.rs
+++ b/crates/gateway/src/replication/peers.rs
@@ -31,25 +31,25 @@
 #[derive(Debug, Error)]
 pub enum PeerError {
     /// The connection could not be established.
-    #[error("{0}")]
+    #[error("can't connect: {0}")]
     Connect(io::Error),
     /// The request could not be built.
-    #[error("{0}")]
+    #[error("can't build the request: {0}")]
     Request(hyper::http::Error),
     /// The connection failed.
-    #[error("{0}")]
+    #[error("the connection failed: {0}")]
     Connection(hyper::Error),
     /// The body of the response could not be read, or is too long.
-    #[error("{0}")]
+    #[error("can't read the body of the response: {0}")]
     Body(Box<dyn std::error::Error + Send + Sync>),
     /// No response arrived within this time.
-    #[error("no answer in {0:?}")]
+    #[error("no response within {0:?}")]
     Timeout(Duration),
     /// A JSON body could not be encoded or decoded.
-    #[error("{0}")]
+    #[error("can't encode or decode a JSON body: {0}")]
     Json(#[from] serde_json::Error),
     /// A postcard body could not be encoded or decoded.
-    #[error("{0}")]
+    #[error("can't encode or decode a postcard body: {0}")]
     Postcard(#[from] postcard::Error),
 }
 
--- a/crates/gateway/src/replication/proposals.rs
+++ b/crates/gateway/src/replication/proposals.rs
@@ -21,7 +21,7 @@
 use tokio::time::timeout;
 use tracing::{error, info, warn};
 
-/// The timeout of a decision, which is shorter than that of a call to the admin interface.
+/// The timeout of a decision, which is shorter than the default timeout of a call to the admin interface.
 pub const DECISION_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// The upper bound of the timeout of a call to one voter, which otherwise is a quarter of the lease.
 const MAX_VOTER_TIMEOUT: Duration = Duration::from_secs(1);
@@ -31,21 +31,21 @@
 /// Why a change of voters is invalid.
 #[derive(Debug, Error)]
 enum VoterChangeError {
-    #[error("'{0}' votes already")]
+    #[error("'{0}' is already a voter")]
     AlreadyVotes(String),
-    #[error("'{0}' does not vote")]
+    #[error("'{0}' is not a voter")]
     DoesNotVote(String),
-    #[error("who answers there, '{0}', has no plan directory")]
+    #[error("the gateway at this address, '{0}', has no plan directory")]
     NoStore(String),
-    #[error("who answers there, '{0}', is another gateway")]
+    #[error("the gateway at this address, '{0}', is not the one to be added")]
     OtherGateway(String),
-    #[error("'{0}' can't be asked: {1}")]
+    #[error("the handshake of '{0}' can't be fetched: {1}")]
     Unreachable(String, PeerError),
-    #[error("zone '{0}' alone would hold a majority")]
+    #[error("zone '{0}' alone would hold a majority of the voters")]
     ZoneMajority(String),
     #[error("expected 1 to {MAX_VOTERS} voters, found {0}")]
     VoterCount(usize),
-    #[error("{0}")]
+    #[error("the voter's item can't be encoded: {0}")]
     Encoding(serde_json::Error),
 }
 
@@ -63,7 +63,7 @@
         }
         let releases_lease = proposal.lease.is_some() && proposal.value.is_none();
         if proposal.section == VOTERS_SECTION || proposal.section == LEASES_SECTION && !releases_lease {
-            return Reply::Invalid(format!("section: '{}' is changed by other means", proposal.section));
+            return Reply::Invalid(format!("section: '{}' can't be changed by a proposal", proposal.section));
         }
         self.propose_and_wait(proposal.id, |voter| voter.propose(&proposal)).await
     }
--- a/crates/gateway/src/replication/serve.rs
+++ b/crates/gateway/src/replication/serve.rs
@@ -45,17 +45,17 @@
 /// Why a call was rejected.
 #[derive(Debug, Error)]
 enum CallError {
-    #[error("{0}")]
+    #[error("calls with Raft messages are no longer accepted: {0}")]
     Closed(#[from] AcquireError),
-    #[error("{0}")]
+    #[error("timed out waiting for the body of the call: {0}")]
     Timeout(#[from] Elapsed),
-    #[error("{0}")]
+    #[error("can't read the body of the call: {0}")]
     Body(Box<dyn std::error::Error + Send + Sync>),
-    #[error("{0}")]
+    #[error("can't encode or decode a JSON body: {0}")]
     Json(#[from] serde_json::Error),
-    #[error("{0}")]
+    #[error("can't encode or decode a postcard body: {0}")]
     Postcard(#[from] postcard::Error),
-    #[error("expected after=INDEX")]
+    #[error("expected the query after=INDEX")]
     MissingIndex,
 }
 
