--- a/crates/gateway/src/config/document.rs
+++ b/crates/gateway/src/config/document.rs
@@ -210,7 +210,7 @@
 pub struct FleetSection {
     /// The address and port on which this gateway receives datagrams of the others.
     pub listen: SocketAddr,
-    /// The address that it advertises to the others. Default: the address in listen.
+    /// The address that this gateway advertises to the others. Default: the address in listen.
     pub advertise: Option<SocketAddr>,
     /// The name of the fleet. Datagrams of other fleets are dropped.
     pub cluster: String,
@@ -256,7 +256,7 @@
 pub struct PlanSection {
     /// The address and port on which this gateway serves the plan to other gateways.
     pub listen: SocketAddr,
-    /// The address for this that it advertises to the others. Default: the address in listen.
+    /// The address that this gateway advertises to the others for the plan. Default: the address in listen.
     pub advertise: Option<SocketAddr>,
     /// The initial voters by name, each with zone and address: 1, 3 or 5, the same at all gateways.
     pub voters: BTreeMap<String, VoterSection>,
