--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -43,7 +43,7 @@
 pub struct Upstreams {
     /// The address of discovery.
     pub discovery: SocketAddr,
-    /// The address of the shared counter, if quotas use one.
+    /// The address of the shared counter, if one is configured.
     pub counter: Option<SocketAddr>,
     /// The limits on connections to backends.
     pub pool: PoolSettings,
@@ -69,7 +69,7 @@
     pub(crate) listen: SocketAddr,
     pub(crate) discovery: SocketAddr,
     pub(crate) counter: Option<SocketAddr>,
-    /// Seeds all random number generators.
+    /// The seed of all random number generators.
     pub(crate) seed: u64,
     /// The endpoint list under the key `known`, used until discovery has answered.
     pub(crate) saved_endpoints: EndpointList,
--- a/crates/gateway/src/config/build.rs
+++ b/crates/gateway/src/config/build.rs
@@ -13,14 +13,15 @@
 use serde_json::Value;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
-/// At most this much memory is used for planning, even if limits.memory_mb is higher.
+/// The limits on the memory of bodies and streams are derived from at most this much memory, even if limits.memory_mb is
+/// higher.
 const MAX_MEMORY_BYTES: usize = 1 << 32;
 const BYTES_PER_MEBIBYTE: usize = 1 << 20;
 /// Placeholder for a missing address. Its absence is reported as a problem, so it never becomes part of a configuration.
 const MISSING_ADDRESS: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0);
 
 impl Config {
-    /// Reads an operator's configuration from a JSON text.
+    /// Builds a configuration from an operator's file in JSON.
     pub fn parse(text: &str) -> Result<Config, ConfigError> {
         let document = serde_json::from_str(text).map_err(|error| ConfigError::new(error.to_string()))?;
         Config::from_document(document, &Source::default())
--- a/crates/gateway/src/config/problems.rs
+++ b/crates/gateway/src/config/problems.rs
@@ -10,7 +10,7 @@
 pub(crate) const MAX_PROBLEMS: usize = 100;
 /// Values in problems are cut after this many characters.
 const MAX_EXCERPT_CHARS: usize = 60;
-/// The expectation for a section that is not an object.
+/// What a problem states as expected if a section is not an object.
 const EXPECTED_OBJECT: &str = "expected an object";
 /// A known key is suggested for an unknown one if they differ by at most this many edits, or by one edit per three
 /// characters if that is more.
--- a/crates/gateway/src/config/site.rs
+++ b/crates/gateway/src/config/site.rs
@@ -60,7 +60,7 @@
                 Err(error) => error,
             };
             let key = error.key().to_string();
-            // A required key that was removed after it was reported. The rest can't be read without it.
+            // The key was reported before and then removed, but is required, so the rest can't be read without it.
             if reported.contains(&key) {
                 return None;
             }
--- a/crates/gateway/src/fleet.rs
+++ b/crates/gateway/src/fleet.rs
@@ -31,8 +31,8 @@
 const RECEIVE_BUFFER_BYTES: usize = 2_048;
 /// The pause after a socket error, so that a socket on which every call fails at once does not cause a busy loop.
 const SOCKET_ERROR_PAUSE: Duration = Duration::from_millis(20);
-/// The number of updates of the active gateways within the departure hold, for which a gateway that is gone still
-/// counts.
+/// How many times the active gateways are updated within the departure hold. A gateway that is gone stops counting at the
+/// first update after the hold.
 const ACTIVE_UPDATES_PER_HOLD: u32 = 10;
 
 /// The sources of the facts that this gateway announces.
@@ -59,7 +59,7 @@
 pub struct FleetSnapshot {
     /// The number of members by state.
     pub members: MemberCounts,
-    /// The number of members whose last recent view digest differs from this gateway's.
+    /// The number of active members that recently sent a view digest different from this gateway's.
     pub disagreeing: usize,
     /// The counters of the membership protocol.
     pub counters: Counters,
--- a/crates/gateway/src/replication/bootstrap.rs
+++ b/crates/gateway/src/replication/bootstrap.rs
@@ -1,5 +1,5 @@
-//! Turns a gateway with an empty store into a voter: the first voters create a document together, later voters join
-//! an existing one.
+//! Turns a gateway with an empty store into a voter: the initial voters, which the configuration names, create
+//! a document together, later voters join an existing one.
 
 use super::message::{voters_of, VoterHandshake, VoterItem};
 use super::peers::{PeerConnection, PeerError};
@@ -13,8 +13,8 @@
 use tokio::task::spawn_local;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The number of rounds that a gateway with an empty store waits before it asks the first voters, so that gossip can
-/// first announce an existing document.
+/// The number of rounds that a gateway with an empty store waits before it asks the initial voters, so that gossip
+/// can first announce an existing document.
 const ROUNDS_BEFORE_BOOTSTRAP: u64 = 10;
 
 /// A document's id and the durable state with which a voter starts on it.
@@ -31,7 +31,7 @@
     Start(InitialState),
     /// The gateway must not vote, for this reason.
     Refuse(NotVoting),
-    /// The first voters have not all answered with a store yet.
+    /// The initial voters have not all answered with a store yet.
     Wait,
 }
 
@@ -40,7 +40,7 @@
     name: &'a str,
     store_id: u64,
     handshakes: &'a [VoterHandshake],
-    /// The document that the first voters would create, if all of them answered with a store.
+    /// The document that the initial voters would create, if all of them answered with a store.
     new_document: Option<InitialState>,
     /// Whether any other gateway acts on a document.
     members_have_document: bool,
@@ -50,7 +50,7 @@
     fn decide(self) -> Bootstrap {
         let existing = self.handshakes.iter().find(|handshake| handshake.document != 0);
         match (existing, self.new_document) {
-            // Another first voter already received all answers and created the document. All of them compute the same
+            // Another initial voter already received all answers and created the document. All of them compute the same
             // initial state.
             (Some(existing), Some(new_document)) if existing.document == new_document.document => {
                 Bootstrap::Start(new_document)
@@ -75,15 +75,15 @@
 }
 
 impl ReplicationService {
-    /// Starts the bootstrap of an empty store if this gateway is one of the first voters, and repeats it every few
-    /// rounds. Any other voter instead starts when the leader sends it messages after it was added.
+    /// Starts the bootstrap of an empty store if this gateway is one of the initial voters, and repeats it every
+    /// few rounds. Any other voter instead starts when the leader sends it messages after it was added.
     pub(super) fn bootstrap_if_due(self: &Rc<Self>, me: &str) {
         let voter_driver = self.voter_driver.borrow();
-        let is_empty_first_voter = self.settings.voters.contains_key(me) && voter_driver.has_empty_store();
+        let is_empty_initial_voter = self.settings.voters.contains_key(me) && voter_driver.has_empty_store();
         let rounds = self.rounds.get();
         let is_due = rounds >= ROUNDS_BEFORE_BOOTSTRAP && rounds.is_multiple_of(TICKS_PER_ROUND);
         let is_in_progress = voter_driver.starting_document().is_some() || self.is_bootstrapping.get();
-        if is_empty_first_voter && is_due && !is_in_progress {
+        if is_empty_initial_voter && is_due && !is_in_progress {
             self.is_bootstrapping.set(true);
             spawn_local(self.clone().bootstrap());
         }
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Returns the document that the first voters create, or `None` unless all of them have a store. All of them
+    /// Returns the document that the initial voters create, or `None` unless all of them have a store. All of them
     /// compute the same document.
     fn prepare_new_document(&self, handshakes: &[VoterHandshake]) -> Option<InitialState> {
         let mut ids = Vec::new();
--- a/crates/gateway/src/replication/bootstrap/tests.rs
+++ b/crates/gateway/src/replication/bootstrap/tests.rs
@@ -36,10 +36,10 @@
     }
 }
 
-/// If all first voters lost their stores, they must not create a second document beside the one that other gateways act
-/// on.
+/// If all initial voters lost their stores, they must not create a second document beside the one that other gateways
+/// act on.
 #[test]
-fn first_voters_create_a_document_only_if_all_have_a_store_and_no_document_exists() {
+fn initial_voters_create_a_document_only_if_all_have_a_store_and_no_document_exists() {
     let no_document = [handshake(0, &[])];
     assert!(matches!(decide(&no_document, None, false), Bootstrap::Wait));
     assert_eq!(started_document(&decide(&no_document, Some(initial_state(DOCUMENT)), false)), Some(DOCUMENT));
@@ -47,9 +47,9 @@
     assert_eq!(refusal(refused), Some(NotVoting::StoresLost));
 }
 
-/// A first voter must start with the same document if another first voter created it a moment earlier.
+/// An initial voter must start with the same document if another initial voter created it a moment earlier.
 #[test]
-fn document_just_created_by_another_first_voter_is_started_here_too() {
+fn document_just_created_by_another_initial_voter_is_started_here_too() {
     let existing = [handshake(DOCUMENT, &[])];
     assert_eq!(started_document(&decide(&existing, Some(initial_state(DOCUMENT)), true)), Some(DOCUMENT));
 }
--- a/crates/gateway/src/replication/catch_up.rs
+++ b/crates/gateway/src/replication/catch_up.rs
@@ -29,7 +29,7 @@
     }
 
     /// Returns the address of a random peer with a later version. A gateway without a document only takes one from the
-    /// first voters, which the configuration names.
+    /// initial voters, which the configuration names.
     fn choose_peer_ahead(&self, members: &[MemberVersion]) -> Option<SocketAddr> {
         let own = self.local_replica.borrow().version();
         let is_ahead = |member: &&MemberVersion| match own.document {
@@ -83,8 +83,8 @@
 
     /// Logs when the leader's heartbeats stop or resume.
     pub(super) fn report_leader_silence(&self, now: u64) {
-        let round = self.settings.tick.as_micros() as u64 * TICKS_PER_ROUND;
-        let is_overdue = self.members.leader_heartbeat_age(now) > round * MAX_SILENT_ROUNDS;
+        let round_us = self.settings.tick.as_micros() as u64 * TICKS_PER_ROUND;
+        let is_overdue = self.members.leader_heartbeat_age(now) > round_us * MAX_SILENT_ROUNDS;
         let mut local_replica = self.local_replica.borrow_mut();
         let is_silent = local_replica.version().document != 0 && is_overdue;
         local_replica.report_silence(is_silent, self.settings.trust.as_secs());
--- a/crates/gateway/src/replication/lease_state.rs
+++ b/crates/gateway/src/replication/lease_state.rs
@@ -20,8 +20,8 @@
         self.held.token(role, now)
     }
 
-    /// Observes an entry that is about to be applied: a lease that it grants starts now, and a holder that released its
-    /// lease is not granted it again.
+    /// Observes an entry that is about to be applied: a lease that it grants starts now, and a holder that released a
+    /// lease is granted no lease again in this term.
     pub fn observe_entry(&mut self, entry: &Entry, proposal: &Proposal, replica: &Replica, now: u64) {
         let Some(table) = self.table.as_mut().filter(|_| proposal.section == LEASES_SECTION) else { return };
         match (&proposal.value, replica.document().grant(&proposal.key)) {
--- a/crates/gateway/src/replication/service.rs
+++ b/crates/gateway/src/replication/service.rs
@@ -248,6 +248,7 @@
         self.drive_voter();
     }
 
+    /// Returns the current time of the clock, in microseconds.
     pub(super) fn now(&self) -> u64 {
         self.clock.now().0
     }
--- a/crates/gateway/src/replication/voter_driver.rs
+++ b/crates/gateway/src/replication/voter_driver.rs
@@ -33,7 +33,7 @@
     /// A document exists that does not list this voter.
     #[error("a plan already exists: this voter must be added to it")]
     NotAdded,
-    /// The stores of all first voters are empty although a document exists.
+    /// The stores of all initial voters are empty although a document exists.
     #[error("all voters' stores are empty, but other gateways act on a plan: restore a store")]
     StoresLost,
 }
@@ -173,8 +173,8 @@
         }
     }
 
-    /// Handles the result of a write. Returns the replica of a voter that it started, unless its document is still
-    /// empty.
+    /// Handles the result of a write. Returns the replica of a voter that it started, unless the voter has no document
+    /// yet.
     pub fn handle_write_result(&mut self, result: WriteResult, rng: &mut fastrand::Rng) -> Option<Replica> {
         match result {
             Ok(INITIAL_STATE_WRITE) => return self.start_voter(rng),
--- a/crates/gateway/tests/counter.rs
+++ b/crates/gateway/tests/counter.rs
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_late_reply_is_not_taken_for_a_later_call_and_blocks_none() {
+fn a_late_reply_is_not_returned_for_a_later_call_and_blocks_none() {
     let calls = AtomicUsize::new(0);
     let stub = Stub::start(move |_| match calls.fetch_add(1, Ordering::SeqCst) {
         0 => {
--- a/crates/gateway/tests/discovery.rs
+++ b/crates/gateway/tests/discovery.rs
@@ -124,10 +124,10 @@
             read_request_path(&mut stream).await;
             stream.write_all(part.as_bytes()).await.expect("the stream is open");
             let silent_since = tokio::time::Instant::now();
-            let (mut again, _) = listener.accept().await.expect("another connection arrives");
+            let (mut reopened, _) = listener.accept().await.expect("another connection arrives");
             let from = format!("from={}&", 7 + responses);
-            assert!(read_request_path(&mut again).await.contains(&from), "from the known revision");
-            again.write_all(empty_list(40, false).as_bytes()).await.expect("the stream is open");
+            assert!(read_request_path(&mut reopened).await.contains(&from), "from the known revision");
+            reopened.write_all(empty_list(40, false).as_bytes()).await.expect("the stream is open");
             assert_eq!(next_list(&mut events).await.0, 40);
             assert!(silent_since.elapsed() < MAX_CHANGE_DELAY, "{:?}", silent_since.elapsed());
             drop(stream);
@@ -152,9 +152,9 @@
             }
             let closed_at = tokio::time::Instant::now();
             drop(stream);
-            let (mut again, _) = listener.accept().await.expect("another connection arrives");
-            read_request_path(&mut again).await;
-            again.write_all(empty_list(8, false).as_bytes()).await.expect("the stream is open");
+            let (mut reopened, _) = listener.accept().await.expect("another connection arrives");
+            read_request_path(&mut reopened).await;
+            reopened.write_all(empty_list(8, false).as_bytes()).await.expect("the stream is open");
             assert_eq!(next_list(&mut events).await.0, 8);
             assert!(closed_at.elapsed() < Duration::from_millis(500), "{:?}", closed_at.elapsed());
         })
@@ -189,8 +189,8 @@
             sent += 1 << 16;
             assert!(sent < 64 << 20, "the connection is closed");
         }
-        let (mut again, _) = listener.accept().await.expect("another connection arrives");
-        assert!(read_request_path(&mut again).await.contains("from=8&"), "the known revision is kept");
+        let (mut reopened, _) = listener.accept().await.expect("another connection arrives");
+        assert!(read_request_path(&mut reopened).await.contains("from=8&"), "the known revision is kept");
     })
     .await;
 }
