--- a/crates/gateway/src/config/build.rs
+++ b/crates/gateway/src/config/build.rs
@@ -13,8 +13,8 @@
 use serde_json::Value;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
-/// The limits on the memory of bodies and streams are derived from at most this much memory, even if limits.memory_mb is
-/// higher.
+/// The limits on the memory of bodies and streams are derived from at most this much memory, even if limits.memory_mb
+/// is higher.
 const MAX_MEMORY_BYTES: usize = 1 << 32;
 const BYTES_PER_MEBIBYTE: usize = 1 << 20;
 /// Placeholder for a missing address. Its absence is reported as a problem, so it never becomes part of a configuration.
--- a/crates/gateway/src/config_error.rs
+++ b/crates/gateway/src/config_error.rs
@@ -33,7 +33,7 @@
 }
 
 impl From<lanespan_policy::SettingsError> for ConfigError {
-    fn from(e: lanespan_policy::SettingsError) -> ConfigError {
-        ConfigError::new(format!("settings: {e}"))
+    fn from(error: lanespan_policy::SettingsError) -> ConfigError {
+        ConfigError::new(format!("settings: {error}"))
     }
 }
--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -14,8 +14,8 @@
 use tokio::time::{sleep, timeout, Instant};
 use tracing::{info, warn};
 
-/// How long discovery may wait for a change before it answers a poll. Together with [`RESPONSE_TIMEOUT`], a silent watch is
-/// detected within 5 s; a change must arrive within 6 s after the watch fell silent.
+/// How long discovery may wait for a change before it answers a poll. Together with [`RESPONSE_TIMEOUT`], a silent watch
+/// is detected within 5 s; a change must arrive within 6 s after the watch fell silent.
 const MAX_POLL_WAIT: Duration = Duration::from_secs(3);
 /// How long a response may take in addition to the time that discovery may wait. Also the timeout for connecting.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
--- a/crates/gateway/src/fleet.rs
+++ b/crates/gateway/src/fleet.rs
@@ -31,8 +31,8 @@
 const RECEIVE_BUFFER_BYTES: usize = 2_048;
 /// The pause after a socket error, so that a socket on which every call fails at once does not cause a busy loop.
 const SOCKET_ERROR_PAUSE: Duration = Duration::from_millis(20);
-/// How many times the active gateways are updated within the departure hold. A gateway that is gone stops counting at the
-/// first update after the hold.
+/// How many times the active gateways are updated within the departure hold. A gateway that is gone stops counting at
+/// the first update after the hold.
 const ACTIVE_UPDATES_PER_HOLD: u32 = 10;
 
 /// The sources of the facts that this gateway announces.
@@ -183,7 +183,7 @@
 
     /// Spreads a heartbeat of this gateway as the leader of the fleet document, which a majority confirmed. Later
     /// heartbeats have higher numbers.
-    pub fn leader_heartbeat(&self, heartbeat: u64) {
+    pub fn announce_leader_heartbeat(&self, heartbeat: u64) {
         self.membership.borrow_mut().leader_heartbeat(self.now(), heartbeat);
     }
 
--- a/crates/gateway/src/names.rs
+++ b/crates/gateway/src/names.rs
@@ -1,8 +1,8 @@
 //! The names that a deployment uses for headers, paths, fields and states on the wire. Names that it does not set are
 //! those of the platform's protocol. The values sent under these names are the same in every deployment.
 //!
-//! Only this module knows the names on the wire; the rest of the gateway uses the terms of [`Headers`],
-//! [`DiscoveryCall`] and [`CounterCall`].
+//! Only this module knows the deployment's names; the rest of the gateway uses the terms of [`Headers`],
+//! [`DiscoveryCall`] and [`CounterCall`], and the protocol's names in the endpoint list.
 
 use crate::config::problems::Problems;
 use crate::config_error::ConfigError;
--- a/crates/gateway/src/replication/members.rs
+++ b/crates/gateway/src/replication/members.rs
@@ -49,7 +49,7 @@
     }
 
     fn spread_leader_heartbeat(&self, heartbeat: u64) {
-        self.leader_heartbeat(heartbeat);
+        self.announce_leader_heartbeat(heartbeat);
     }
 
     fn leader_heartbeat_age(&self, now: u64) -> u64 {
