--- a/crates/fleet/src/membership.rs
+++ b/crates/fleet/src/membership.rs
@@ -318,7 +318,7 @@
         self.document.heartbeat_age(now)
     }
 
-    /// Returns the number of members whose last recent view digest differs from this gateway's.
+    /// Returns the number of members whose last view digest, if received recently, differs from this gateway's.
     pub fn disagreeing(&self) -> usize {
         self.members.disagreeing(self.clock.now(), self.config.probe_period)
     }
--- a/crates/fleet/src/membership/dissemination.rs
+++ b/crates/fleet/src/membership/dissemination.rs
@@ -123,7 +123,7 @@
         let FactsBroadcast { address: (name, socket), incarnation, facts } = postcard::from_bytes(data)?;
         let address = Address::new(&name, socket);
         // Announcements of this gateway itself have no sender. Those about this gateway that arrive from other members
-        // are of an earlier incarnation and are ignored.
+        // are ignored: they are of an earlier incarnation, repeat the current facts, or are forged.
         let is_own_announcement = sender.is_none();
         if !is_own_announcement && address == self.local {
             return Ok(None);
--- a/crates/fleet/src/membership/members.rs
+++ b/crates/fleet/src/membership/members.rs
@@ -120,8 +120,8 @@
         Some(record)
     }
 
-    /// Returns whether a member has the same view, or `None` if it is not active or its last digest is older than the
-    /// last change of this view or than the maximum age.
+    /// Returns whether a member has the same view, or `None` if it is not active, or has sent no digest since this view
+    /// last changed or within the maximum age.
     pub(super) fn agrees(
         &self,
         record: &MemberRecord,
--- a/crates/fleet/src/quota_divisor/tests.rs
+++ b/crates/fleet/src/quota_divisor/tests.rs
@@ -30,7 +30,7 @@
     for spread in 1..=9u32 {
         let divisors = (1..=spread).map(|active| with_active(0, spread, 0..active).quota_divisor(0, spread));
         let largest_share = divisors.min().map_or(0.0, |least| 1.0 / f64::from(least));
-        assert!(f64::from(spread) * largest_share < 2.0, "{spread}");
+        assert!(f64::from(spread) * largest_share < 2.0, "{spread} gateways");
     }
 }
 
--- a/crates/fleet/src/replication/document.rs
+++ b/crates/fleet/src/replication/document.rs
@@ -49,7 +49,7 @@
 /// The fencing token of a lease: the log position of its grant.
 pub type FencingToken = LogPosition;
 
-/// Names the lease under which its holder proposes a change. Serialized as a pair.
+/// Identifies the lease under which its holder proposes a change. Serialized as a pair.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(String, FencingToken)", into = "(String, FencingToken)")]
 pub struct LeaseProof {
@@ -129,7 +129,7 @@
     #[serde(rename = "Changed")]
     #[error("{}", describe_item_change(.0))]
     ItemChanged(u64),
-    /// The proposer's token is not the current token of the role's lease, which is this one.
+    /// The proposer's token is not the current token of the role's lease. Holds the current token.
     #[error("the proposer's token for the duty is out of date: the current token is {0}")]
     Fenced(FencingToken),
     /// The proposal can't be parsed, or a field exceeds its limits.
--- a/crates/fleet/src/replication/lease.rs
+++ b/crates/fleet/src/replication/lease.rs
@@ -6,8 +6,10 @@
 //! that succeeded, and shortens it by ttl / `CLOCK_DRIFT_DIVISOR`. The leader measures it from the confirmation of the
 //! renewal, which is later, and extends it by ttl / `CLOCK_DRIFT_DIVISOR`. A new leader measures it from the time at
 //! which it had applied all entries of earlier terms, which is after any confirmation by its predecessor. The holder's
-//! lease therefore expires first as long as no clock is off by 4 in 100. Where all of that fails, late actions of the
-//! old holder are rejected because of its token.
+//! lease therefore expires first as long as no clock runs fast or slow by more than 4 in 100. Where all of that fails,
+//! late actions of the old holder are rejected because of its token.
+//!
+//! All times are in microseconds.
 
 use super::document::{
     CurrentGrant, Document, FencingToken, Grant, LeaseProof, Proposal, LEASES_SECTION, SCHEMA_VERSION,
@@ -17,7 +19,7 @@
 
 /// The fleet-wide roles: assessing failover, and ordering work.
 pub const ROLES: [&str; 2] = ["failover", "work"];
-/// The holder's view of a lease is shorter than the ttl by ttl / this, the leader's view is longer by the same amount.
+/// A lease is shortened by its ttl divided by this for the holder, and extended by the same time for the leader.
 const CLOCK_DRIFT_DIVISOR: u64 = 20;
 /// The number of renewals of a lease within its ttl.
 const RENEWALS_PER_TTL: u64 = 3;
@@ -127,7 +129,7 @@
         self.pending_grants.retain(|_, pending| *pending != proposal);
     }
 
-    /// Reports whether a lease can still be renewed. The result is valid only once a majority confirms that this voter
+    /// Returns whether a lease can still be renewed. The result is valid only once a majority confirms that this voter
     /// leads.
     pub fn may_renew(&self, document: &Document, role: &str, token: FencingToken, now: u64) -> bool {
         let current = document.grant(role).filter(|current| current.token == token);
@@ -216,7 +218,7 @@
         HeldLease { token: current.token, ttl: current.grant.ttl, held_until: 0, requested_at: 0 }
     }
 
-    /// Reports whether nothing was requested yet, or so long ago that the request is treated as lost.
+    /// Returns whether a request may be sent: none was sent yet, or so long ago that it is treated as lost.
     fn may_request(&self, now: u64) -> bool {
         let retry_after = (self.ttl / RENEWALS_PER_TTL / 2).min(MAX_RETRY_INTERVAL_US);
         self.requested_at == 0 || now >= self.requested_at + retry_after
@@ -362,7 +364,8 @@
 }
 
 impl FencingGuard {
-    /// Reports whether an action under this token is allowed: not if a higher token was seen before for the role.
+    /// Records an action under this token and returns whether it is allowed. It is not if a higher token was seen
+    /// before for the role.
     pub fn admits(&mut self, role: &str, token: FencingToken) -> bool {
         let highest = self.highest_tokens.entry(role.to_string()).or_default();
         let admitted = token >= *highest;
--- a/crates/fleet/src/replication/voter.rs
+++ b/crates/fleet/src/replication/voter.rs
@@ -246,7 +246,7 @@
         self.node.as_ref().map(|node| &node.store().replica)
     }
 
-    /// Reports whether this voter is the leader and has applied all entries of earlier terms.
+    /// Returns whether this voter is the leader and has applied all entries of earlier terms.
     pub fn is_leader(&self) -> bool {
         self.node.as_ref().is_some_and(|node| {
             node.raft.state == StateRole::Leader && node.store().applied.term == node.raft.term
@@ -274,7 +274,7 @@
         voters.filter(|id| *id != self.id).collect()
     }
 
-    /// Reports whether this voter has not halted.
+    /// Returns whether this voter is running, that is, has not halted.
     pub fn is_running(&self) -> bool {
         self.node.is_some()
     }
--- a/crates/fleet/src/replication/voter/output.rs
+++ b/crates/fleet/src/replication/voter/output.rs
@@ -32,7 +32,7 @@
     /// A majority confirmed that this voter was the leader when
     /// [`crate::replication::voter::Voter::confirm_leadership`] was called with this number.
     LeadershipConfirmed(u64),
-    /// The leader changed, as seen by this voter.
+    /// The leader or the term changed, as seen by this voter.
     LeaderChanged {
         /// The id of the leader; 0: none.
         leader: u64,
--- a/crates/fleet/src/replication/wire.rs
+++ b/crates/fleet/src/replication/wire.rs
@@ -1,5 +1,6 @@
 //! Raft messages between voters and log records on disk, encoded with postcard. The protobuf encoding of the Raft
-//! library is not used on the network, because its parser is not made for untrusted input.
+//! library is not used for messages from the network, because its parser is not made for untrusted input. Only a change
+//! of voters in a record stays in that encoding.
 
 use super::document::LogPosition;
 use raft::eraftpb;
@@ -15,7 +16,7 @@
     pub kind: u8,
     /// The position of the record in the log.
     pub position: LogPosition,
-    /// The proposal, or the Raft library's description of the change of voters.
+    /// The JSON text of the proposal, or the change of voters in the Raft library's protobuf encoding.
     pub data: Vec<u8>,
     /// The proposal that records a change of voters in the document; empty for other records.
     pub context: Vec<u8>,
--- a/crates/fleet/src/sim.rs
+++ b/crates/fleet/src/sim.rs
@@ -320,7 +320,7 @@
         }
         let waiting = std::mem::take(&mut gateway.waiting);
         if let Some(membership) = &mut gateway.membership {
-            // A process that resumes after a stall also runs its due timers before it reads the waiting datagrams.
+            // Like a real process after a stall: it first runs its due timers, then reads the waiting datagrams.
             membership.handle_timeout(now);
             waiting.iter().for_each(|datagram| membership.handle_datagram(now, datagram));
         }
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -90,7 +90,7 @@
     pub superseded: bool,
     /// What it announces about itself.
     pub facts: Facts,
-    /// Whether its last view digest equals this view's, or `None` if it sent none recently.
+    /// Whether its last view digest equals this view's, or `None` if it is not active or sent none recently.
     pub agrees: Option<bool>,
     /// The version of the fleet document that it acts on, or `None` if it has no document.
     #[serde(rename = "acts_on")]
@@ -146,6 +146,6 @@
     /// Names shared by two or more active members.
     #[serde(rename = "claimed_twice")]
     pub conflicting_names: Vec<String>,
-    /// The number of members whose last recent view digest differs.
+    /// The number of members whose last view digest, if received recently, differs from this view's.
     pub disagreeing: usize,
 }
--- a/crates/fleet/tests/lease_model.rs
+++ b/crates/fleet/tests/lease_model.rs
@@ -9,9 +9,9 @@
 
 const ROLE: &str = ROLES[0];
 /// The duration of a step of time.
-const STEP_DURATION: u64 = 100;
+const STEP_US: u64 = 100;
 /// The ttl of a lease. It is two steps, so that clocks of different speeds are compared at the end of a lease.
-const TTL: u64 = 200;
+const TTL_US: u64 = 200;
 /// The number of steps that the model explores.
 const LAST_STEP: u64 = 5;
 /// The maximum number of renewals and responses in flight.
@@ -42,10 +42,10 @@
 enum Action {
     TimePasses,
     LeaderGrants,
-    AnotherLeads,
+    LeaderChanges,
     HolderRenews(usize),
-    Delivered(usize),
-    Lost(usize),
+    Deliver(usize),
+    Lose(usize),
     Acts(usize),
 }
 
@@ -58,7 +58,7 @@
 
 impl LeaseModel {
     fn clock(&self, gateway: usize, step: u64) -> u64 {
-        let elapsed = step * STEP_DURATION * self.clock_speeds[gateway];
+        let elapsed = step * STEP_US * self.clock_speeds[gateway];
         // The clocks don't start at 0, because 0 stands for never.
         1_000 + elapsed / 100
     }
@@ -94,13 +94,13 @@
         }
         actions.push(Action::LeaderGrants);
         if state.leader_changes < MAX_LEADER_CHANGES {
-            actions.push(Action::AnotherLeads);
+            actions.push(Action::LeaderChanges);
         }
         for gateway in 0..2 {
             actions.extend([Action::HolderRenews(gateway), Action::Acts(gateway)]);
         }
         for index in 0..state.messages.len() {
-            actions.extend([Action::Delivered(index), Action::Lost(index)]);
+            actions.extend([Action::Deliver(index), Action::Lose(index)]);
         }
     }
 
@@ -109,7 +109,7 @@
         let clock = |gateway: usize| self.clock(gateway, previous.step);
         match action {
             Action::TimePasses => state.step += 1,
-            Action::AnotherLeads => {
+            Action::LeaderChanges => {
                 state.leader_changes += 1;
                 state.leases = LeaseTable::new(1, clock(2));
             }
@@ -121,7 +121,7 @@
                     .filter(|candidate| Some(&candidate.name) != holder.as_ref())
                     .collect();
                 let mut last_id = state.last_log_index * 10;
-                let due = state.leases.grants_due(&state.document, &candidates, TTL, clock(2), || {
+                let due = state.leases.grants_due(&state.document, &candidates, TTL_US, clock(2), || {
                     last_id += 1;
                     last_id
                 });
@@ -149,8 +149,8 @@
                 state.looked_up[gateway] =
                     state.looked_up[gateway].or(state.held[gateway].token(ROLE, clock(gateway)));
             }
-            Action::Lost(index) => drop(state.messages.remove(index)),
-            Action::Delivered(index) => {
+            Action::Lose(index) => drop(state.messages.remove(index)),
+            Action::Deliver(index) => {
                 let (gateway, token, sent, is_response) = state.messages.remove(index);
                 if is_response {
                     state.held[gateway].renewed(ROLE, token, sent, clock(gateway));
--- a/crates/fleet/tests/membership_fixtures.rs
+++ b/crates/fleet/tests/membership_fixtures.rs
@@ -86,7 +86,7 @@
 }
 
 fn json(value: &impl serde::Serialize) -> String {
-    serde_json::to_string(value).expect("JSON")
+    serde_json::to_string(value).expect("the value can be encoded")
 }
 
 /// A scenario on a seeded network: joining, document versions and a heartbeat, a crash, a leave, a partition, a stall,
@@ -325,7 +325,7 @@
         network.run(SECOND / 50);
     }
     let member = network.gateways[0].membership.as_ref().expect("the gateway is running");
-    let view = serde_json::to_string_pretty(&member.view()).expect("JSON");
+    let view = serde_json::to_string_pretty(&member.view()).expect("the value can be encoded");
     let (outputs, digest) = (trace.borrow().outputs, trace.borrow().digest.digest());
     let actual = format!("outputs={outputs} digest={digest:016x}\n{view}\n");
     assert_eq!(actual, fixture("replay.txt", &actual));
@@ -340,9 +340,9 @@
 #[test]
 fn views_of_seeded_network_serialize_to_the_recorded_json() {
     let views = Run::execute().views;
-    let actual = format!("{}\n", serde_json::to_string_pretty(&views).expect("JSON"));
+    let actual = format!("{}\n", serde_json::to_string_pretty(&views).expect("the value can be encoded"));
     assert_eq!(actual, fixture("views.json", &actual));
-    let views: Vec<serde_json::Value> = serde_json::from_str(&actual).expect("JSON");
+    let views: Vec<serde_json::Value> = serde_json::from_str(&actual).expect("valid JSON");
     let values = |path: &str| {
         let members = views.iter().flat_map(|view| view["members"].as_array().cloned().unwrap_or_default());
         members.map(|member| member[path].to_string()).collect::<BTreeSet<_>>()
--- a/crates/fleet/tests/replication.rs
+++ b/crates/fleet/tests/replication.rs
@@ -12,7 +12,9 @@
 use lanespan_fleet::replication::voter_trust::VoterTrust;
 use std::collections::{BTreeMap, HashMap};
 
+/// One second, in microseconds.
 const SECOND: u64 = 1_000_000;
+/// How long a test waits for a condition, in simulated microseconds.
 const MAX_WAIT: u64 = 60 * SECOND;
 
 /// Asserts that all voters have the same entry at each index, with the same position and digest.
@@ -161,13 +163,13 @@
         } else {
             net.partition(&[old]);
         }
-        net.propose(old, 1, 1, None).expect("it still acts as the leader");
+        net.propose(old, 1, 1, None).expect("the old leader still acts as the leader");
         let other_leader = |net: &Network| {
             (0..5).find(|i| *i != old && net.voters[*i].voter.as_ref().is_some_and(Voter::is_leader))
         };
         net.run_until(MAX_WAIT, |net| other_leader(net).is_some()).expect("another leader is elected");
         let new = other_leader(&net).expect("there is another leader");
-        net.propose(new, 2, 2, None).expect("it is the leader");
+        net.propose(new, 2, 2, None).expect("the voter is the leader");
         net.run_until(MAX_WAIT, |net| document_index(net, new) == 1).expect("the proposal is committed");
         net.run_until(MAX_WAIT, |net| !net.voters[old].voter.as_ref().is_some_and(Voter::is_leader))
             .expect("the old leader steps down");
@@ -214,11 +216,11 @@
     let leader = net.leader().expect("there is a leader");
     // More entries than the log retains, so that the added voter needs a snapshot.
     for id in 1..=2_500 {
-        net.propose(leader, id, id, None).expect("it is the leader");
+        net.propose(leader, id, id, None).expect("the voter is the leader");
         net.run_until(MAX_WAIT, |net| document_index(net, leader) == id).expect("the proposal is committed");
     }
     assert!(net.voters[leader].disk.base.index > 1, "the log is compacted");
-    net.change_voters(leader, 9_001, VoterChange::Add(4)).expect("it is the leader");
+    net.change_voters(leader, 9_001, VoterChange::Add(4)).expect("the voter is the leader");
     assert_eq!(
         net.change_voters(leader, 9_002, VoterChange::Remove(1)),
         Err(ProposeError::Busy),
@@ -226,13 +228,14 @@
     );
     net.run_until(MAX_WAIT, replicas_agree).expect("the added voter catches up");
     let removed = (0..3).find(|i| *i != leader).expect("there are other voters");
-    net.change_voters(leader, 9_003, VoterChange::Remove(removed as u64 + 1)).expect("it is the leader");
+    net.change_voters(leader, 9_003, VoterChange::Remove(removed as u64 + 1))
+        .expect("the voter is the leader");
     net.run_until(MAX_WAIT, |net| document_index(net, leader) == 2_502).expect("the proposal is committed");
     net.crash(removed);
     // One more of the first voters may crash: the added voter counts towards the majority of the remaining three.
     let third = (0..3).find(|i| *i != leader && *i != removed).expect("there are other voters");
     net.crash(third);
-    net.propose(leader, 9_004, 1, None).expect("it is the leader");
+    net.propose(leader, 9_004, 1, None).expect("the voter is the leader");
     net.run_until(MAX_WAIT, |net| document_index(net, leader) == 2_503 && document_index(net, 3) == 2_503)
         .expect("two of three voters are a majority");
     // A voter restores the same document from its compacted log.
@@ -250,7 +253,7 @@
     let stale = (0..3).find(|i| *i != leader).expect("there are other voters");
     let older: DurableState = net.voters[stale].disk.clone();
     for id in 1..=5 {
-        net.propose(leader, id, id, None).expect("it is the leader");
+        net.propose(leader, id, id, None).expect("the voter is the leader");
     }
     net.run_until(MAX_WAIT, replicas_agree).expect("all voters have the entries");
     net.run(SECOND);
@@ -274,7 +277,7 @@
         let leader = net.leader().expect("there is a leader");
         let others: Vec<usize> = (0..3).filter(|i| *i != leader).collect();
         others.iter().for_each(|i| net.voters[*i].write_time = Some(10 * SECOND..=10 * SECOND));
-        net.propose(leader, 1, 1, None).expect("it is the leader");
+        net.propose(leader, 1, 1, None).expect("the voter is the leader");
         net.run(5 * SECOND);
         // The other voters' writes are not durable yet, so nothing may be decided, and no vote may count.
         assert!(net.voters.iter().all(|sim| sim.decided.is_empty()), "seed {seed}");
@@ -291,7 +294,7 @@
     net.run_until(MAX_WAIT, |net| net.leader().is_some()).expect("a leader is elected");
     let leader = net.leader().expect("there is a leader");
     net.conditions.write_time = 10 * SECOND..=10 * SECOND;
-    net.propose(leader, 1, 1, None).expect("it is the leader");
+    net.propose(leader, 1, 1, None).expect("the voter is the leader");
     net.run(SECOND);
     assert!(
         (0..3).all(|i| document_index(&net, i) == 0),
@@ -330,7 +333,7 @@
 }
 
 fn to_json(proposal: &Proposal) -> String {
-    serde_json::to_string(proposal).expect("it can be encoded")
+    serde_json::to_string(proposal).expect("the value can be encoded")
 }
 
 #[test]
@@ -382,15 +385,19 @@
     // A follower that is more than 10,000 entries behind gets a snapshot. Then it gets entries, in several responses.
     assert!(matches!(source.catch_up_after(0), Some(CatchUp::Snapshot(_))));
     let mut new_follower = Replica::default();
-    new_follower.apply_catch_up(1, source.catch_up_after(0).expect("it is behind")).expect("it applies");
+    new_follower
+        .apply_catch_up(1, source.catch_up_after(0).expect("the follower is behind"))
+        .expect("the catch-up applies");
     assert_eq!(new_follower.version(), source.version());
-    follower.apply_catch_up(1, source.catch_up_after(0).expect("it is behind")).expect("it applies");
+    follower
+        .apply_catch_up(1, source.catch_up_after(0).expect("the follower is behind"))
+        .expect("the catch-up applies");
     for id in 12_001..=20_000 {
         source.apply(log_position(id + 1), &to_json(&test_proposal(id, "work", &id.to_string())));
     }
     let mut response_count = 0;
     while let Some(catch_up) = source.catch_up_after(follower.document().index) {
-        follower.apply_catch_up(1, catch_up).expect("it applies");
+        follower.apply_catch_up(1, catch_up).expect("the catch-up applies");
         response_count += 1;
     }
     assert_eq!(follower.version(), source.version());
@@ -505,7 +512,7 @@
         }
         assert!(last_tokens.len() == ROLES.len(), "seed {seed}: each role was held");
     }
-    assert!(grant_count > 600, "{grant_count}");
+    assert!(grant_count > 600, "too few grants for a meaningful check: {grant_count}");
 }
 
 #[test]
@@ -542,7 +549,7 @@
     let mut leases = LeaseTable::new(1, 0);
     for proposal in leases.grants_due(&document, &candidates, SECOND, 0, || 1) {
         let position = log_position(if proposal.key == ROLES[0] { 2 } else { 3 });
-        // Both proposals have the same id, so they get distinct ids from their log positions.
+        // Both proposals have the same id, so the second would be a duplicate. The log positions serve as ids instead.
         let _ = document.apply(position, &to_json(&Proposal { id: position.index, ..proposal.clone() }));
         leases.record_grant(&proposal.key, position, 0);
     }
@@ -647,7 +654,7 @@
     // Another leader that does not know of the release grants the lease again.
     let grant =
         serde_json::to_string(&Grant { holder: me.name.clone(), incarnation: me.incarnation, ttl: SECOND })
-            .expect("it can be encoded");
+            .expect("the value can be encoded");
     let late = Proposal { value: Some(grant), ..test_proposal(50, LEASES_SECTION, "") };
     let late = Proposal { key: ROLES[0].to_string(), ..late };
     assert!(matches!(document.apply(log_position(4), &to_json(&late)).0, Verdict::Accepted(_)));
@@ -665,7 +672,7 @@
     for ttl in [5 * SECOND, 600 * SECOND] {
         let mut document = Document::default();
         let grant = Grant { holder: me.name.clone(), incarnation: me.incarnation, ttl };
-        let value = Some(serde_json::to_string(&grant).expect("it can be encoded"));
+        let value = Some(serde_json::to_string(&grant).expect("the value can be encoded"));
         let granted = Proposal { value, key: ROLES[0].to_string(), ..test_proposal(50, LEASES_SECTION, "") };
         assert!(matches!(document.apply(log_position(1), &to_json(&granted)).0, Verdict::Accepted(_)));
         let mut held = HeldLeases::default();
--- a/crates/fleet/tests/replication_fixtures.rs
+++ b/crates/fleet/tests/replication_fixtures.rs
@@ -16,14 +16,15 @@
 use std::path::Path;
 use xxhash_rust::xxh3::xxh3_64;
 
-const DOCUMENT: u64 = 7;
+const DOCUMENT_ID: u64 = 7;
+/// One second, in microseconds.
 const SECOND: u64 = 1_000_000;
 
-fn hex(bytes: &[u8]) -> String {
+fn encode_hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-fn unhex(text: &str) -> Vec<u8> {
+fn decode_hex(text: &str) -> Vec<u8> {
     (0..text.len())
         .step_by(2)
         .map(|offset| u8::from_str_radix(&text[offset..offset + 2], 16).expect("hexadecimal digits"))
@@ -72,9 +73,9 @@
 /// Creates a document with an item in each of two sections, one of which comes from an entry.
 fn document() -> Document {
     let voters = BTreeMap::from([("g0".to_string(), r#"{"id":1}"#.to_string())]);
-    let mut document = Document::bootstrap(DOCUMENT, &voters);
+    let mut document = Document::bootstrap(DOCUMENT_ID, &voters);
     let change = Proposal { expected_index: None, expected_item_index: None, lease: None, ..proposal(41) };
-    let text = serde_json::to_string(&change).expect("it can be encoded");
+    let text = serde_json::to_string(&change).expect("the value can be encoded");
     assert_eq!(document.apply(LogPosition { term: 2, index: 8 }, &text).0, Verdict::Accepted(1));
     document
 }
@@ -109,11 +110,11 @@
 }
 
 fn postcard(value: &impl Serialize) -> Vec<u8> {
-    postcard::to_allocvec(value).expect("it can be encoded")
+    postcard::to_allocvec(value).expect("the value can be encoded")
 }
 
 fn json(value: &impl Serialize) -> Vec<u8> {
-    serde_json::to_vec(value).expect("it can be encoded")
+    serde_json::to_vec(value).expect("the value can be encoded")
 }
 
 /// Returns one encoded value of each kind that is stored or sent, with the kind's name.
@@ -135,9 +136,9 @@
         ("postcard promise".to_string(), postcard(&hard_state)),
         ("postcard write".to_string(), postcard(&write)),
         ("postcard document".to_string(), postcard(&document())),
-        ("postcard news entries".to_string(), postcard(&(DOCUMENT, Some(entries)))),
-        ("postcard news whole".to_string(), postcard(&(DOCUMENT, Some(snapshot_catch_up)))),
-        ("postcard news none".to_string(), postcard(&(DOCUMENT, None::<CatchUp>))),
+        ("postcard news entries".to_string(), postcard(&(DOCUMENT_ID, Some(entries)))),
+        ("postcard news whole".to_string(), postcard(&(DOCUMENT_ID, Some(snapshot_catch_up)))),
+        ("postcard news none".to_string(), postcard(&(DOCUMENT_ID, None::<CatchUp>))),
         ("json proposal".to_string(), json(&proposal(77))),
         ("json proposal removes".to_string(), json(&Proposal { value: None, lease: None, ..proposal(78) })),
         ("json token".to_string(), json(&LogPosition { term: 3, index: 4 })),
@@ -175,13 +176,13 @@
 #[test]
 fn stored_and_sent_values_have_the_encoding_of_the_base_build() {
     let found = samples().iter().fold(String::new(), |mut text, (name, bytes)| {
-        let _ = writeln!(text, "{name}: {}", hex(bytes));
+        let _ = writeln!(text, "{name}: {}", encode_hex(bytes));
         text
     });
     assert_fixture("plan_values.txt", &found);
     for line in fixture("plan_values.txt").lines() {
         let (name, bytes) = line.split_once(": ").expect("the line has a name");
-        assert_eq!(hex(&reencode(name, &unhex(bytes))), bytes, "{name}");
+        assert_eq!(encode_hex(&reencode(name, &decode_hex(bytes))), bytes, "{name}");
     }
 }
 
@@ -200,12 +201,12 @@
 impl Voters {
     fn new() -> Voters {
         let items = (1..=3).map(|id| (format!("g{id}"), id.to_string())).collect();
-        let first = DurableState::bootstrap(&Document::bootstrap(DOCUMENT, &items), vec![1, 2, 3])
-            .expect("it can be encoded");
+        let first = DurableState::bootstrap(&Document::bootstrap(DOCUMENT_ID, &items), vec![1, 2, 3])
+            .expect("the value can be encoded");
         let disks = [first.clone(), first.clone(), first, DurableState::empty()];
         let voters = (1..).zip(disks);
         let voters = voters
-            .map(|(id, disk)| (Voter::new(id, DOCUMENT, &disk, id * 11).expect("the voter starts"), disk));
+            .map(|(id, disk)| (Voter::new(id, DOCUMENT_ID, &disk, id * 11).expect("the voter starts"), disk));
         Voters {
             voters: voters.collect(),
             in_flight: VecDeque::new(),
@@ -285,7 +286,7 @@
         for id in ids {
             let plain =
                 Proposal { expected_index: None, expected_item_index: None, lease: None, ..proposal(id) };
-            self.voter(leader).propose(&plain).expect("it is the leader");
+            self.voter(leader).propose(&plain).expect("the voter is the leader");
             self.deliver_all();
         }
     }
@@ -298,7 +299,7 @@
         let plain = Proposal { expected_index: None, expected_item_index: None, lease: None, ..proposal(id) };
         let plain = Proposal { section: "voters".into(), key: name, value, ..plain };
         let leader = self.leader();
-        self.voter(leader).change_voters(change, &plain).expect("it is the leader");
+        self.voter(leader).change_voters(change, &plain).expect("the voter is the leader");
         self.deliver_all();
     }
 }
@@ -345,7 +346,8 @@
     let mut found = String::new();
     for (kind, bytes) in &messages {
         // A snapshot is long, so the fixture has only its digest.
-        let form = if bytes.len() < 4_096 { hex(bytes) } else { format!("digest {:016x}", xxh3_64(bytes)) };
+        let form =
+            if bytes.len() < 4_096 { encode_hex(bytes) } else { format!("digest {:016x}", xxh3_64(bytes)) };
         let _ = writeln!(found, "postcard letters {kind}: {form}");
         assert_eq!(reencode("postcard letters", bytes), *bytes);
     }
@@ -398,9 +400,9 @@
     for sim in &net.voters {
         let decided: Vec<String> =
             sim.decided.iter().map(|decided| String::from_utf8_lossy(&json(decided)).into_owned()).collect();
-        let entries = hex(&postcard(&sim.entries));
+        let entries = encode_hex(&postcard(&sim.entries));
         let disk = &sim.disk;
-        let disk = hex(&postcard(&(disk.hard_state, disk.base, &disk.snapshot, &disk.records)));
+        let disk = encode_hex(&postcard(&(disk.hard_state, disk.base, &disk.snapshot, &disk.records)));
         let _ = writeln!(history, "{decided:?} {entries} {:?} {:?} {disk}", sim.confirmed, sim.halted);
     }
     history
