--- a/crates/gateway/src/backend/exchange.rs
+++ b/crates/gateway/src/backend/exchange.rs
@@ -61,7 +61,8 @@
         }
     }
 
-    /// Checks out a connection. Returns the outcome of the attempt if the request must not be sent.
+    /// Checks out a connection. Returns the outcome of the attempt if there is none, or if the request must no longer
+    /// be sent.
     async fn checkout(&mut self) -> Result<PooledConnection, Outcome> {
         let checkout = tokio::select! {
             biased;
--- a/crates/gateway/src/backoff.rs
+++ b/crates/gateway/src/backoff.rs
@@ -21,14 +21,15 @@
     rng: fastrand::Rng,
     /// The period over which the first calls of all gateways are spread.
     spread: Duration,
-    failures: u32,
+    /// How many times the bound has doubled since the last successful call.
+    doublings: u32,
 }
 
 impl Backoff {
     /// Creates a backoff. Callers with different seeds have different delays. `gateways` is the number of gateways
     /// whose calls load the service; 0 if calls put no load on it.
     pub fn new(seed: u64, gateways: u32) -> Backoff {
-        Backoff { rng: fastrand::Rng::with_seed(seed), spread: SPREAD_PER_GATEWAY * gateways, failures: 0 }
+        Backoff { rng: fastrand::Rng::with_seed(seed), spread: SPREAD_PER_GATEWAY * gateways, doublings: 0 }
     }
 
     /// Returns the delay before the first call: random, up to `max`, or up to less if few gateways share the service.
@@ -39,15 +40,15 @@
     /// Returns the delay after a failed call that took `elapsed`: random, up to a bound that doubles. The bound limits
     /// the time between the starts of two calls to `MAX_CALL_INTERVAL`, but is at least `MIN_BOUND`.
     pub fn retry_delay(&mut self, elapsed: Duration) -> Duration {
-        let bound = self.spread.max(MIN_BOUND) * (1 << self.failures);
+        let bound = self.spread.max(MIN_BOUND) * (1 << self.doublings);
         let remaining = MAX_CALL_INTERVAL.saturating_sub(elapsed).max(MIN_BOUND);
-        self.failures = (self.failures + 1).min(MAX_DOUBLINGS);
+        self.doublings = (self.doublings + 1).min(MAX_DOUBLINGS);
         self.jitter(bound.min(remaining))
     }
 
     /// Resets the bound after a successful call.
     pub fn reset(&mut self) {
-        self.failures = 0;
+        self.doublings = 0;
     }
 
     fn jitter(&mut self, bound: Duration) -> Duration {
--- a/crates/gateway/src/driver/counter_calls.rs
+++ b/crates/gateway/src/driver/counter_calls.rs
@@ -10,7 +10,7 @@
 pub(super) struct CounterCall {
     pub(super) key: CounterKey,
     pub(super) amount: f64,
-    /// Expiry of the key, if this call creates it.
+    /// How long the counter keeps the key, if this call creates it.
     pub(super) lifetime: Micros,
     /// When the engine ordered the call.
     pub(super) called_at: Micros,
--- a/crates/gateway/src/driver/events.rs
+++ b/crates/gateway/src/driver/events.rs
@@ -15,7 +15,7 @@
 /// The final answer to a client.
 #[derive(Debug)]
 pub enum FinalAnswer {
-    /// A backend's 200 response, either complete or streamed once the limit for buffering it was exceeded.
+    /// A backend's 200 response: complete, or streamed if its body exceeds the limit for buffering.
     Served(ServedBody),
     /// The request was rejected without being executed, so it is safe to retry, preferably after this time.
     Rejected(Option<Micros>),
@@ -40,7 +40,7 @@
 pub enum DriverEvent {
     /// A client's request was accepted.
     RequestAccepted(Box<AcceptedRequest>),
-    /// The client of a request closed its connection.
+    /// The client of a request closed its connection, or the request was answered as failed at the end of a shutdown.
     ClientDisconnected(RequestId),
     /// Discovery sent the endpoint list, or changes to it.
     EndpointsChanged(EndpointList),
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -66,7 +66,8 @@
     pub address: SocketAddr,
     /// The start time of the backend from the endpoint list. A change means that older connections are dead.
     pub started_at_ms: u64,
-    /// Cleared when the endpoint list reports that the backend drains or is gone.
+    /// Whether the backend is in service. Cleared when the endpoint list reports that it moved, restarted, drains or is
+    /// gone.
     pub open: Cell<bool>,
 }
 
--- a/crates/gateway/src/pool/backend_state.rs
+++ b/crates/gateway/src/pool/backend_state.rs
@@ -56,7 +56,7 @@
         self.held() >= self.limit.connections()
     }
 
-    /// Records that a byte was received from the backend.
+    /// Records that a byte was received from the backend or that a connection to it was established.
     pub(super) fn responded(&mut self) {
         self.silent_timeouts = 0;
     }
@@ -67,7 +67,7 @@
     }
 
     /// Returns whether the backend's machine seems to be gone. If so, idle connections are not used until a new one has
-    /// been established.
+    /// been established or a byte was received on one that is in use.
     pub(super) fn is_unresponsive(&self) -> bool {
         self.silent_timeouts >= UNRESPONSIVE_AFTER_TIMEOUTS
     }
--- a/crates/gateway/src/pool/error.rs
+++ b/crates/gateway/src/pool/error.rs
@@ -11,7 +11,7 @@
     /// No connection to the backend could be established.
     #[error("the backend is unreachable")]
     Unreachable,
-    /// The backend accepts no more connections from this gateway, and none became free in time.
+    /// No connection to the backend became free in time, or too many requests already wait for one.
     #[error("all connections to the backend are in use")]
     BackendFull,
     /// The limit of this gateway on connections or on waiting requests is reached.
@@ -22,8 +22,9 @@
 /// Error of a failed dial.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum DialError {
-    /// The dial failed without timing out, for example because the backend refused the connection.
-    #[error("the backend refused the connection")]
+    /// The dial failed without timing out. Usually the backend refused the connection, but this also covers network
+    /// errors and local faults, such as exhausted file descriptors. The pool handles all of them as refusals.
+    #[error("connecting to the backend failed")]
     Refused,
     /// The connection was not established in time.
     #[error("the connection to the backend timed out")]
--- a/crates/gateway/src/pool/stats.rs
+++ b/crates/gateway/src/pool/stats.rs
@@ -3,9 +3,9 @@
 /// Totals since the start.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub struct Counters {
-    /// Connections that requests got.
+    /// Connections granted to requests.
     pub used: u64,
-    /// Connections that requests got and that had been idle in the pool.
+    /// Granted connections that had been idle in the pool.
     pub reused: u64,
     /// Dials that were started, including those ahead of demand.
     pub dials: u64,
--- a/crates/gateway/src/relay/client_body.rs
+++ b/crates/gateway/src/relay/client_body.rs
@@ -10,7 +10,7 @@
 
 /// Observes a streamed response. The observer is dropped when the stream ends.
 pub trait StreamObserver {
-    /// Records that `bytes` bytes were handed to the protocol.
+    /// Records that `bytes` bytes were passed to the HTTP connection.
     fn bytes_sent(&self, bytes: u64);
     /// Returns whether the stream is aborted because the transfer is too slow.
     fn is_too_slow(&self) -> bool;
--- a/crates/gateway/src/relay/upload.rs
+++ b/crates/gateway/src/relay/upload.rs
@@ -127,8 +127,8 @@
         below_minimum || now >= self.started_at + settings.max_duration
     }
 
-    /// Waits until a bound attempt times out: its backend accepted less than the minimum in a window, or has not
-    /// responded in time after the last byte.
+    /// Waits until a bound attempt times out: its backend accepted less than the minimum in a window at whose end no
+    /// reader waits for the client, or has not responded in time after the last byte.
     pub async fn wait_for_backend_timeout(&self, settings: &StreamSettings) {
         while !self.is_complete() {
             let received_before = self.received_bytes.get();
--- a/crates/gateway/src/relay/upload/reader.rs
+++ b/crates/gateway/src/relay/upload/reader.rs
@@ -25,7 +25,7 @@
 pub struct SendState {
     /// Whether sending stopped because the backend has already responded.
     stopped: Cell<bool>,
-    /// Whether the last byte was handed to the protocol, so that the backend may execute the request.
+    /// Whether the last byte was passed to the HTTP connection, so that the backend may execute the request.
     complete: Cell<bool>,
 }
 
--- a/crates/gateway/src/relay/upload/state.rs
+++ b/crates/gateway/src/relay/upload/state.rs
@@ -165,7 +165,7 @@
         self.wakers.drain(..).for_each(Waker::wake);
     }
 
-    /// Stores a chunk for other attempts if it fits into the replay buffer.
+    /// Stores a chunk for other attempts if it fits into the replay buffer, or else binds the upload to this attempt.
     pub(super) fn store(&mut self, chunk: &Bytes, attempt: usize) -> StoreResult {
         if !self.is_replayable() {
             return StoreResult::NotKept;
--- a/crates/gateway/src/relay/upload/tests.rs
+++ b/crates/gateway/src/relay/upload/tests.rs
@@ -10,7 +10,7 @@
 
 const REPLAY_BYTES: usize = 8;
 
-/// A client whose test sends the upload in pieces; `None` ends it. Reading waits while there is no piece.
+/// A client whose upload is sent piece by piece by the test; `None` ends it. Reading waits while there is no piece.
 #[derive(Default, Clone)]
 struct Client(Rc<RefCell<Pieces>>);
 type Pieces = (VecDeque<Option<&'static str>>, Option<Waker>);
--- a/crates/gateway/src/server/connection.rs
+++ b/crates/gateway/src/server/connection.rs
@@ -10,7 +10,7 @@
 //!   v  |                               v                                     |
 //!   Idle <-------------------------------------------------------------------+
 //!
-//! any phase -- the HTTP exchange has ended after a response --> Lingering
+//! any phase -- the HTTP exchange is complete and bytes were written --> Lingering
 //! ```
 //!
 //! `ConnectionTable` decides when a connection has to end and requests it with [`ClientConnection::close`] or
--- a/crates/gateway/src/server/handler.rs
+++ b/crates/gateway/src/server/handler.rs
@@ -133,7 +133,7 @@
             UploadInProgress::begin(connection, Upload::new(source, replay_bytes, budget, memory));
         let payload = Payload::Upload(in_progress.upload.clone());
         let response = self.forward(payload, open_request).await;
-        // The framing of requests after a chunked body is unknown, so it could not be trusted.
+        // The framing of requests after a chunked body is unknown, so these requests could not be trusted.
         let may_continue = in_progress.upload.is_complete() && framing != Some(BodyFraming::Chunked);
         Ok(if may_continue { response } else { with_connection_close(response) })
     }
--- a/crates/gateway/src/server/response.rs
+++ b/crates/gateway/src/server/response.rs
@@ -24,8 +24,8 @@
     response
 }
 
-/// Returns the response to an invalid request. It closes the connection, so that what follows a request that can't be
-/// trusted, such as a body of 60 MB, is not read.
+/// Returns the response to a request that failed with `error`. It closes the connection, so that what follows a request
+/// that can't be trusted, such as a body of 60 MB, is not read.
 pub(super) fn error_response(error: RequestError) -> Response<ResponseBody> {
     let (status, text) = error.response();
     with_connection_close(text_response(status, text))
--- a/crates/gateway/src/server/shutdown.rs
+++ b/crates/gateway/src/server/shutdown.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// How long after SIGTERM new connections are accepted; the platform routes connections here for another 0.4 s.
+/// How long after SIGTERM new connections are accepted; the platform still routes some here for 0.4 s after it.
 pub(super) const ACCEPT_AFTER_SIGTERM: Duration = Duration::from_millis(600);
 /// Longer deadlines than this do not delay SIGKILL any further.
 const MAX_AWAITED_DEADLINE: Duration = Duration::from_secs(3);
--- a/crates/gateway/src/tapped.rs
+++ b/crates/gateway/src/tapped.rs
@@ -17,7 +17,7 @@
     fn bytes_written(&self, count: usize);
 }
 
-/// Maximum number of bytes read ahead. Bounds memory.
+/// Reading ahead stops once at least this number of bytes is buffered. Bounds memory.
 pub const MAX_READ_AHEAD_BYTES: usize = 32 * 1024;
 /// Maximum number of bytes read ahead by one read of the socket.
 const READ_SIZE_BYTES: usize = 4096;
--- a/crates/gateway/tests/backend.rs
+++ b/crates/gateway/tests/backend.rs
@@ -18,6 +18,7 @@
 use tokio::time::Instant;
 use world::{http, on_runtime, Reply, Stub};
 
+/// A time limit that these tests do not reach.
 const LONG: Duration = Duration::from_secs(5);
 /// Longer than the settle time, after which a released connection may be used again.
 const AFTER_SETTLING: Duration = Duration::from_millis(10);
@@ -563,7 +564,7 @@
     let partial_reader = std::thread::spawn(move || {
         let (mut stream, _) = listener.accept().expect("a connection");
         stream.read_exact(&mut [0; 1024]).expect("the request starts");
-        // Closing a socket with unread bytes resets the connection.
+        // The unread bytes and the linger time of zero make the close a reset.
         socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO)).expect("a socket");
     });
     let pool = pool(1, LONG, LONG);
--- a/crates/gateway/tests/fleet_pools.rs
+++ b/crates/gateway/tests/fleet_pools.rs
@@ -22,8 +22,10 @@
 const MS: Duration = Duration::from_millis(1);
 /// How long a request holds its connection.
 const REQUEST_TIME: Duration = Duration::from_millis(50);
+/// The window within which opened connections are counted.
 const WINDOW: Duration = Duration::from_millis(100);
-const LONG: Duration = Duration::from_secs(5);
+/// Time limit of a checkout, which these tests do not reach.
+const CHECKOUT_TIMEOUT: Duration = Duration::from_secs(5);
 /// The default limit on the connections of one gateway to one backend in a fleet of 300.
 const MAX_BACKEND_CONNECTIONS: usize = 4;
 
@@ -114,7 +116,9 @@
 
 /// Holds a connection for [`REQUEST_TIME`]. Returns whether one was available.
 async fn hold_connection(pool: &Rc<Pool>, backend: &Backend) -> bool {
-    let Ok(connection) = pool.checkout(backend, Instant::now() + LONG).await else { return false };
+    let Ok(connection) = pool.checkout(backend, Instant::now() + CHECKOUT_TIMEOUT).await else {
+        return false;
+    };
     sleep(REQUEST_TIME).await;
     connection.release();
     true
@@ -263,8 +267,8 @@
         let mut all: Vec<Instant> = second.iter().flat_map(|b| b.opened.borrow().clone()).collect();
         all.sort();
         let within = |from: &Instant| all.iter().filter(|at| (*from..*from + WINDOW).contains(at)).count();
-        let busiest = all.iter().map(within).max();
-        println!("preconnects: {busiest:?} of {} within 100 ms", all.len());
-        assert!(busiest < Some(GATEWAYS * 6 / 4), "{busiest:?}");
+        let peak_opened = all.iter().map(within).max();
+        println!("preconnects: {peak_opened:?} of {} within 100 ms", all.len());
+        assert!(peak_opened < Some(GATEWAYS * 6 / 4), "{peak_opened:?}");
     });
 }
