--- a/crates/gateway/tests/backend.rs
+++ b/crates/gateway/tests/backend.rs
@@ -1,6 +1,6 @@
 //! Tests of attempts at a backend and of the connection pool, on loopback sockets.
 #[path = "../../lanespan/tests/sockets/stubs.rs"]
-mod world;
+mod stubs;
 
 use lanespan_gateway::backend::{AttemptEnd, AttemptParams, ForwardedRequest, Payload};
 use lanespan_gateway::config::document::PoolSection;
@@ -14,9 +14,9 @@
 use std::sync::mpsc::{channel, Receiver, Sender};
 use std::sync::Arc;
 use std::time::Duration;
+use stubs::{http, on_runtime, Reply, Stub};
 use tokio::sync::{oneshot, watch};
 use tokio::time::Instant;
-use world::{http, on_runtime, Reply, Stub};
 
 /// A time limit that these tests do not reach.
 const LONG: Duration = Duration::from_secs(5);
--- a/crates/gateway/tests/fleet_pools.rs
+++ b/crates/gateway/tests/fleet_pools.rs
@@ -24,8 +24,8 @@
 const REQUEST_TIME: Duration = Duration::from_millis(50);
 /// The window within which opened connections are counted.
 const WINDOW: Duration = Duration::from_millis(100);
-/// Time limit of a checkout, which these tests do not reach.
-const CHECKOUT_TIMEOUT: Duration = Duration::from_secs(5);
+/// How long a request waits for a connection at most.
+const MAX_WAIT: Duration = Duration::from_secs(5);
 /// The default limit on the connections of one gateway to one backend in a fleet of 300.
 const MAX_BACKEND_CONNECTIONS: usize = 4;
 
@@ -116,9 +116,7 @@
 
 /// Holds a connection for [`REQUEST_TIME`]. Returns whether one was available.
 async fn hold_connection(pool: &Rc<Pool>, backend: &Backend) -> bool {
-    let Ok(connection) = pool.checkout(backend, Instant::now() + CHECKOUT_TIMEOUT).await else {
-        return false;
-    };
+    let Ok(connection) = pool.checkout(backend, Instant::now() + MAX_WAIT).await else { return false };
     sleep(REQUEST_TIME).await;
     connection.release();
     true
