--- a/crates/gateway/tests/backend.rs
+++ b/crates/gateway/tests/backend.rs
@@ -1,6 +1,6 @@
 //! Tests of attempts at a backend and of the connection pool, on loopback sockets.
 #[path = "../../lanespan/tests/sockets/stubs.rs"]
-mod world;
+mod stubs;
 
 use lanespan_gateway::backend::{AttemptEnd, AttemptParams, ForwardedRequest, Payload};
 use lanespan_gateway::config::document::PoolSection;
@@ -14,10 +14,11 @@
 use std::sync::mpsc::{channel, Receiver, Sender};
 use std::sync::Arc;
 use std::time::Duration;
+use stubs::{http, on_runtime, Reply, Stub};
 use tokio::sync::{oneshot, watch};
 use tokio::time::Instant;
-use world::{http, on_runtime, Reply, Stub};
 
+/// A time limit that these tests do not reach.
 const LONG: Duration = Duration::from_secs(5);
 /// Longer than the settle time, after which a released connection may be used again.
 const AFTER_SETTLING: Duration = Duration::from_millis(10);
@@ -563,7 +564,7 @@
     let partial_reader = std::thread::spawn(move || {
         let (mut stream, _) = listener.accept().expect("a connection");
         stream.read_exact(&mut [0; 1024]).expect("the request starts");
-        // Closing a socket with unread bytes resets the connection.
+        // The unread bytes and the linger time of zero make the close a reset.
         socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO)).expect("a socket");
     });
     let pool = pool(1, LONG, LONG);
