--- a/crates/fleet/src/replication/document.rs
+++ b/crates/fleet/src/replication/document.rs
@@ -231,7 +231,7 @@
 }
 
 impl Document {
-    /// Creates a document with these first voters and no entries.
+    /// Creates a document with these initial voters and no entries.
     pub fn bootstrap(id: u64, voters: &BTreeMap<String, String>) -> Document {
         let item = |value: &String| Item { value: value.clone(), index: 0, position: LogPosition::default() };
         let voters = voters.iter().map(|(name, value)| (name.clone(), item(value))).collect();
--- a/crates/fleet/src/replication/log.rs
+++ b/crates/fleet/src/replication/log.rs
@@ -53,7 +53,7 @@
 }
 
 impl DurableState {
-    /// Creates the state that each of the first voters of a new document starts from.
+    /// Creates the state that each of the initial voters of a new document starts from.
     pub fn bootstrap(document: &Document, mut voters: Vec<u64>) -> Result<DurableState, postcard::Error> {
         voters.sort_unstable();
         let base = LogPosition { term: 1, index: 1 };
--- a/crates/fleet/src/replication/sim.rs
+++ b/crates/fleet/src/replication/sim.rs
@@ -129,16 +129,16 @@
 }
 
 impl Network {
-    /// Creates a network of first voters and of spare ones that can be added as voters. All are started.
-    pub fn new(first_voters: usize, spare_voters: usize, seed: u64) -> Network {
+    /// Creates a network of initial voters and of spare ones that can be added as voters. All are started.
+    pub fn new(initial_voters: usize, spare_voters: usize, seed: u64) -> Network {
         let voter_items =
-            (0..first_voters).map(|index| (format!("g{index}"), (index + 1).to_string())).collect();
+            (0..initial_voters).map(|index| (format!("g{index}"), (index + 1).to_string())).collect();
         let document = Document::bootstrap(DOCUMENT_ID, &voter_items);
-        let initial_state = DurableState::bootstrap(&document, (1..=first_voters as u64).collect());
+        let initial_state = DurableState::bootstrap(&document, (1..=initial_voters as u64).collect());
         let initial_state = initial_state.unwrap_or_else(|_| DurableState::empty());
-        let voter_count = first_voters + spare_voters;
+        let voter_count = initial_voters + spare_voters;
         let initial_disk =
-            |index: usize| if index < first_voters { initial_state.clone() } else { DurableState::empty() };
+            |index: usize| if index < initial_voters { initial_state.clone() } else { DurableState::empty() };
         let mut network = Network {
             voters: (0..voter_count).map(|index| SimVoter::new(initial_disk(index))).collect(),
             conditions: Conditions::default(),
--- a/crates/fleet/tests/replication.rs
+++ b/crates/fleet/tests/replication.rs
@@ -232,7 +232,7 @@
         .expect("the voter is the leader");
     net.run_until(MAX_WAIT, |net| document_index(net, leader) == 2_502).expect("the proposal is committed");
     net.crash(removed);
-    // One more of the first voters may crash: the added voter counts towards the majority of the remaining three.
+    // One more of the initial voters may crash: the added voter counts towards the majority of the remaining three.
     let third = (0..3).find(|i| *i != leader && *i != removed).expect("there are other voters");
     net.crash(third);
     net.propose(leader, 9_004, 1, None).expect("the voter is the leader");
