--- a/crates/lab/src/checks.rs
+++ b/crates/lab/src/checks.rs
@@ -13,8 +13,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long a backend may still receive requests from a gateway that was notified that it drains. The protocol allows
-/// 2 s; the rest is slack for delays in sockets.
+/// How long a backend may still receive requests from a gateway after the gateway was notified that the backend drains.
+/// The protocol allows 2 s; the rest is slack for delays in sockets.
 const DRAIN_TIMEOUT: Duration = Duration::from_millis(2_050 + 250);
 /// The time before and after an outage of a gateway in which its clients' connections may break.
 const OUTAGE_MARGIN: Duration = Duration::from_millis(1_000);
@@ -173,7 +173,7 @@
         .collect()
 }
 
-/// Reports the requests that arrived at a backend too long after their gateway was notified that it drains.
+/// Reports the requests that arrived at a backend too long after their gateway was notified that the backend drains.
 fn requests_after_drain(
     drain_notices: &HashMap<(String, String), Duration>,
     requests_by_id: &HashMap<&str, &RequestRecord>,
@@ -253,9 +253,9 @@
 pub fn same_document(documents: &BTreeMap<String, Value>) -> bool {
     let versions: BTreeSet<String> = documents
         .values()
-        .map(|plan| format!("{} {} {}", plan["plan"], plan["index"], plan["digest"]))
+        .map(|document| format!("{} {} {}", document["plan"], document["index"], document["digest"]))
         .collect();
-    versions.len() == 1 && documents.values().all(|plan| plan["plan"] != "0000000000000000")
+    versions.len() == 1 && documents.values().all(|document| document["plan"] != "0000000000000000")
 }
 
 /// Returns the violation for fewer proposals accepted in time than the experiment requires.
--- a/crates/lab/src/experiment.rs
+++ b/crates/lab/src/experiment.rs
@@ -37,7 +37,7 @@
 pub struct Experiment {
     /// A description of what the experiment demonstrates.
     pub shows: String,
-    /// The seed of the random numbers behind the load, the service times and the link faults.
+    /// The seed of the load, the service times, the link faults and the gateways' random choices.
     #[serde(default = "default_seed")]
     pub seed: u64,
     /// The duration of the load, in seconds.
@@ -153,18 +153,19 @@
 }
 
 /// Selects parties: single ones such as `g0`, `b1`, `counter` and `discovery`, or groups: `zone:a`, `region:north`,
-/// `gateways` and `backends`.
+/// `gateways` and `backends`. The names `leader`, `zone:leader` and `rest` are resolved when an action is applied.
 pub type Parties = Vec<String>;
 
 /// An action on a running fleet. Unknown keys and party names are errors.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum Action {
-    /// Kills the parties: gateways by SIGKILL, stand-ins by closing their listener and connections without a drain.
+    /// Kills gateways by SIGKILL, and backends and the counter by closing their listener and connections without a drain.
     Kill(Parties),
     /// Sends SIGTERM to gateways.
     Terminate(Parties),
-    /// Starts parties that are not running: backends cold, the counter with its previous totals.
+    /// Starts gateways as soon as their previous process has exited, and backends and the counter if they are closed:
+    /// backends cold, the counter with its previous totals.
     Start(Parties),
     /// Restarts gateways one after the other: SIGTERM, wait for the exit, start.
     Roll(Parties),
--- a/crates/lab/src/gateway.rs
+++ b/crates/lab/src/gateway.rs
@@ -301,7 +301,7 @@
                 if let Some(line) = found {
                     return Ok(line);
                 }
-                // Without a process all its lines have been read already, so none can follow.
+                // The process id is cleared only after the log has been read to its end, so no line can follow.
                 if self.pid.get().is_none() {
                     let last = self.log_lines.borrow().last().cloned().unwrap_or_default();
                     let (gateway, line) = (self.name.clone(), text.to_string());
--- a/crates/lab/src/http.rs
+++ b/crates/lab/src/http.rs
@@ -86,7 +86,7 @@
                     }
                 }
             });
-            // Fails only if the client breaks the connection, and then there is no one to respond to.
+            // Ignored: an error ends only this connection, and its client gets no response.
             let _ = hyper::server::conn::http1::Builder::new()
                 .serve_connection(TokioIo::new(stream), service)
                 .await;
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -96,7 +96,7 @@
     }
 }
 
-/// A request that was sent, and its outcome.
+/// A request of the load and its outcome.
 #[derive(Clone, Debug)]
 pub struct RequestRecord {
     /// The id of the request.
@@ -105,7 +105,7 @@
     pub customer: u64,
     /// The index of the request's class in `CLASSES`.
     pub class: usize,
-    /// The name of the gateway that received the request.
+    /// The name of the gateway that was selected for the request.
     pub gateway: String,
     /// The time when the request was due, since the rig started.
     pub due: Duration,
@@ -278,7 +278,7 @@
             outcome: Outcome::Pending,
         };
         let lateness = due.elapsed();
-        // Fails only beyond the histogram's maximum of a minute, which is invalid in any case.
+        // Fails only beyond the histogram's maximum of a minute. A run that is so late is invalid in any case.
         let _ = self.results.lateness.borrow_mut().record(lateness.as_micros() as u64);
         let request = || {
             let remaining_ms = deadline.saturating_sub(due.elapsed()).as_millis();
--- a/crates/lab/src/record.rs
+++ b/crates/lab/src/record.rs
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A read-only view of a run. It borrows the rig's `RefCell`s, so it must not be held while the fleet runs on.
+/// A read-only view of a run. It borrows the rig's `RefCell`s, so it must be dropped before the fleet continues to run.
 pub struct RunRecord<'a> {
     /// The experiment that was run.
     pub experiment: &'a Experiment,
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -106,13 +106,13 @@
             self.fates.iter().map(|(outcome, count)| format!("{outcome} {count}")).collect();
         let _ = writeln!(text, "requests: {}", fates.join(", "));
         let [median, p90, p99, max] = self.answer_ms;
-        let _ = writeln!(text, "ms to answer: median {median:.1}, 90% {p90:.1}, 99% {p99:.1}, most {max:.1}");
+        let _ = writeln!(text, "ms to answer: median {median:.1}, 90% {p90:.1}, 99% {p99:.1}, max {max:.1}");
         let [median, p99, max] = self.late_ms;
-        let _ = writeln!(text, "generator late, ms: median {median:.2}, 99% {p99:.2}, most {max:.2}");
-        let _ = writeln!(text, "units inside quotas {:.0}, beyond {:.0}", self.units.0, self.units.1);
+        let _ = writeln!(text, "generator late, ms: median {median:.2}, 99% {p99:.2}, max {max:.2}");
+        let _ = writeln!(text, "units within quotas {:.0}, beyond {:.0}", self.units.0, self.units.1);
         let _ = writeln!(
             text,
-            "a gateway at most: {:.1} MiB, {} descriptors",
+            "largest use by a gateway: {:.1} MiB, {} descriptors",
             self.peak_usage.0, self.peak_usage.1
         );
         let _ = writeln!(text, "\n{:>6} {:>7} {:>8} {:>7}  done", "s", "served", "refused", "failed");
--- a/crates/lab/src/rig.rs
+++ b/crates/lab/src/rig.rs
@@ -66,7 +66,7 @@
     pub arrivals: Rc<RefCell<Vec<Arrival>>>,
     /// The applied actions and their times since the rig started.
     pub actions: RefCell<Vec<(Duration, String)>>,
-    /// The gateways that were sent SIGTERM, which the others must record as `left`.
+    /// The gateways that were terminated and not started again, which the others must record as `left`.
     pub terminated: RefCell<BTreeSet<String>>,
     /// The directory of the configuration files and logs.
     pub directory: PathBuf,
--- a/crates/lab/src/rig/config.rs
+++ b/crates/lab/src/rig/config.rs
@@ -10,8 +10,8 @@
 use std::path::Path;
 use std::rc::Rc;
 
-/// The number of other gateways that a gateway is configured to join the fleet through.
-const SEED_ADDRESSES: usize = 3;
+/// The maximum number of other gateways that a gateway is configured to join the fleet through.
+const MAX_SEED_ADDRESSES: usize = 3;
 
 /// The addresses of the relays from one gateway to the other parties.
 pub(super) struct GatewayRoutes {
@@ -44,8 +44,8 @@
     if experiment.gateways.fleet {
         config["fleet"] = fleet_section(experiment, gateway, routes);
     }
-    if let Some(plan) = &experiment.gateways.plan {
-        config["fleet"]["plan"] = plan_section(plan, gateways, gateway, routes, directory);
+    if let Some(replication) = &experiment.gateways.plan {
+        config["fleet"]["plan"] = plan_section(replication, gateways, gateway, routes, directory);
     }
     config
 }
@@ -76,7 +76,7 @@
 }
 
 fn fleet_section(experiment: &Experiment, gateway: &Gateway, routes: &GatewayRoutes) -> Value {
-    let seed_addresses: Vec<&SocketAddr> = routes.membership.values().take(SEED_ADDRESSES).collect();
+    let seed_addresses: Vec<&SocketAddr> = routes.membership.values().take(MAX_SEED_ADDRESSES).collect();
     let clock_ahead_ms = experiment.gateways.clock_ahead_ms.get(&gateway.name).copied().unwrap_or(0);
     json!({
         "listen": "127.0.0.1:0", "advertise": gateway.advertised, "cluster": "lab", "join": seed_addresses,
@@ -86,19 +86,20 @@
 }
 
 fn plan_section(
-    plan: &ReplicationSettings,
+    replication: &ReplicationSettings,
     gateways: &[Rc<Gateway>],
     gateway: &Gateway,
     routes: &GatewayRoutes,
     directory: &Path,
 ) -> Value {
-    let voters = gateways[..plan.voters].iter().map(|voter| {
+    let voters = gateways[..replication.voters].iter().map(|voter| {
         (voter.name.clone(), json!({ "zone": voter.zone, "address": replication_address(voter) }))
     });
     json!({
         "listen": "127.0.0.1:0", "advertise": replication_address(gateway), "via": routes.replication,
         "voters": voters.collect::<Map<_, _>>(),
         "directory": directory.join(format!("{}-plan", gateway.name)),
-        "tick_ms": plan.tick_ms, "lease_ms": plan.lease_ms, "trust_s": plan.trust_s, "ramp_s": plan.ramp_s,
+        "tick_ms": replication.tick_ms, "lease_ms": replication.lease_ms,
+        "trust_s": replication.trust_s, "ramp_s": replication.ramp_s,
     })
 }
--- a/crates/simhost/tests/sites.rs
+++ b/crates/simhost/tests/sites.rs
@@ -59,6 +59,7 @@
     settings: Settings,
     engine: Engine,
     rng: fastrand::Rng,
+    /// The simulated time, in microseconds.
     now: u64,
     /// The scheduled events as time and serial number. The earliest comes first; of events with equal times, the one
     /// that was scheduled last.
