--- a/crates/lanespan/benches/admin.rs
+++ b/crates/lanespan/benches/admin.rs
@@ -9,7 +9,8 @@
 use std::time::Instant;
 
 /// Starts a gateway with or without an admin interface. Its endpoint list has this number of backends, all at the
-/// address of one process. Returns also the admin address and the seconds from start to ready.
+/// address of one process. Returns also the admin address (without an admin interface, the request address) and the
+/// seconds from start to ready.
 fn gateway(admin_enabled: bool, backends: usize) -> (Discovery, Stub, Node, std::net::SocketAddr, f64) {
     let backend = Stub::start(|_| http("200 OK", "ok"));
     let members: Vec<String> =
--- a/crates/lanespan/benches/relay.rs
+++ b/crates/lanespan/benches/relay.rs
@@ -36,12 +36,12 @@
     }
     // Head and body are written at once, because a separate write of the body would wait for the acknowledgement of the
     // head.
-    let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n{}", "x".repeat(length));
-    let answer = std::sync::Arc::new(answer);
+    let response = format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n{}", "x".repeat(length));
+    let response = std::sync::Arc::new(response);
     let backend = Stub::start(move |_| {
-        let answer = answer.clone();
+        let response = response.clone();
         // The write fails if the connection closes early.
-        Reply::Write(Box::new(move |stream| _ = stream.write_all(answer.as_bytes())))
+        Reply::Write(Box::new(move |stream| _ = stream.write_all(response.as_bytes())))
     });
     gateway_with_backend(streaming, backend.address)
 }
@@ -87,13 +87,14 @@
                 for number in (first..requests).step_by(CLIENTS) {
                     if direction == Direction::Up {
                         begin_upload(&mut client, number, length, body);
-                        assert_eq!(client.read_response().expect("an answer").status(), 200);
+                        assert_eq!(client.read_response().expect("a response").status(), 200);
                         continue;
                     }
-                    let mut left = request_head(&mut client, number);
-                    while left > 0 {
-                        let most = left.min(buffer.len());
-                        left -= client.reader().read(&mut buffer[..most]).expect("the response continues");
+                    let mut remaining = request_head(&mut client, number);
+                    while remaining > 0 {
+                        let read_limit = remaining.min(buffer.len());
+                        remaining -=
+                            client.reader().read(&mut buffer[..read_limit]).expect("the response continues");
                     }
                 }
             });
--- a/crates/lanespan/src/cli.rs
+++ b/crates/lanespan/src/cli.rs
@@ -88,8 +88,8 @@
     Show(AdminArgs),
     /// List the entries of the fleet document that a gateway retains
     History(AdminArgs),
-    /// Propose a change; exit code 3 if it is rejected, 4 if the gateway is not the leader, 5 if it is not decided in
-    /// time
+    /// Propose a change; exit code 3 if it is rejected, 4 if the gateway is not the leader, 5 if the gateway is busy or
+    /// does not decide in time
     #[command(
         after_help = "Example:\n  lanespan fleet plan propose versions floor 17 --reason \"release 17\" \\\n    \
         --admin 127.0.0.1:9901"
--- a/crates/lanespan/src/fleet.rs
+++ b/crates/lanespan/src/fleet.rs
@@ -6,7 +6,7 @@
 /// The admin path of the membership view.
 pub const MEMBERS_PATH: &str = "/fleet/members";
 
-/// Formats the membership view: the number of members by zone, and one row per member.
+/// Formats the membership view: its version and digest, the number of members by zone, and one row per member.
 pub fn members_table(view: &Value) -> String {
     let mut text = String::new();
     // Writing to a String can't fail.
@@ -17,9 +17,9 @@
         text_of(&view["me"]["name"]),
         text_of(&view["digest"])
     );
-    let _ = writeln!(text, "members with another digest: {}", view["disagreeing"]);
+    let _ = writeln!(text, "members that recently reported another digest: {}", view["disagreeing"]);
     for name in view["claimed_twice"].as_array().into_iter().flatten() {
-        let _ = writeln!(text, "claimed twice: {}", text_of(name));
+        let _ = writeln!(text, "name claimed by two gateways: {}", text_of(name));
     }
     let _ = writeln!(text, "\n{:<18} {:>8} {:>8} {:>6}", "zone", "present", "suspect", "gone");
     for (zone, counts) in view["zones"].as_object().into_iter().flatten() {
--- a/crates/lanespan/src/replication.rs
+++ b/crates/lanespan/src/replication.rs
@@ -1,5 +1,5 @@
 //! `lanespan fleet plan`, `voters` and `duties`: shows and changes the fleet document of a running gateway, its voters
-//! and its leases. The constants list the exit codes of a change.
+//! and its leases. The `EXIT_` constants are the exit codes of a change.
 
 use crate::cli::{PlanCommand, ProposeArgs, VotersCommand};
 use crate::{admin, print, usage_error};
@@ -30,7 +30,8 @@
 const EXIT_REJECTED: u8 = 3;
 /// The gateway is not the leader.
 const EXIT_NOT_LEADER: u8 = 4;
-/// The proposal was not decided in time. It has to be sent again with the same id, so that it is applied at most once.
+/// The gateway was busy, or the change was not decided in time. A proposal that was not decided may still be accepted. It
+/// has to be sent again with the same id, so that it is applied at most once.
 const EXIT_UNDECIDED: u8 = 5;
 
 /// Runs `lanespan fleet plan`.
--- a/crates/lanespan/src/run.rs
+++ b/crates/lanespan/src/run.rs
@@ -82,7 +82,7 @@
             Ok(newer) => {
                 log_ignored(newer.ignored());
                 let upstreams = newer.upstreams();
-                info!(%upstreams, "configuration read again");
+                info!(%upstreams, "configuration reloaded");
                 let changed = newer.changed_sections(&restart_only);
                 if !changed.is_empty() {
                     warn!(
@@ -92,7 +92,7 @@
                 }
                 reload.send_replace(upstreams);
             }
-            Err(problem) => warn!(%problem, "configuration not usable; the old one stays"),
+            Err(problem) => warn!(%problem, "configuration not usable; the previous one stays in effect"),
         }
     }
 }
--- a/crates/lanespan/tests/command.rs
+++ b/crates/lanespan/tests/command.rs
@@ -7,7 +7,7 @@
 use std::path::PathBuf;
 use std::process::{Command, Output};
 
-/// Runs the command with these arguments and without the gateway's environment variables.
+/// Runs the command with these arguments and without the environment variables that affect an operator's configuration.
 fn lanespan(args: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_lanespan"));
     ["NODE_CONFIG", "NODE_LISTEN", "NODE_DISCOVERY", "NODE_NAME", "LANESPAN_NAMES"].iter().for_each(|name| {
--- a/crates/lanespan/tests/fleet.rs
+++ b/crates/lanespan/tests/fleet.rs
@@ -285,7 +285,7 @@
                 gateway.lines_with("name=\"g1\" older="),
             );
             assert_eq!(reported, reported_for_g1, "{}: reports no other name", gateway.name);
-            assert!(reported <= 1, "{}: reports the duplicate once", gateway.name);
+            assert!(reported <= 1, "{}: reports the duplicate at most once", gateway.name);
         }
         assert_eq!(
             rig.gateway(4).lines_with("declared dead") + rig.gateway(1).lines_with("declared dead"),
--- a/crates/lanespan/tests/plan.rs
+++ b/crates/lanespan/tests/plan.rs
@@ -171,8 +171,8 @@
     wait_for_new_holder(rig, role, &Lease::default()).await
 }
 
-/// Replaces a voter whose store is new: removes it, adds it, and waits until it votes.
-async fn replace_voter(rig: &Rig, voter: &Gateway) {
+/// Readmits a voter whose store is new: removes it, adds it again (a second time is invalid), and waits until it votes.
+async fn readmit_voter(rig: &Rig, voter: &Gateway) {
     let (name, address) = (voter.name.as_str(), replication_address(voter).to_string());
     let removed = run_at_leader(rig, &["voters", "remove", name, "--reason", "its disk"]).await;
     assert!(removed.status.success(), "{}", text(&removed));
@@ -210,7 +210,7 @@
         assert_eq!(stale.status.code(), Some(3), "{}", text(&stale));
         let at_follower = run_fleet_command(&follower, &propose("18", &[])).await;
         assert_eq!(at_follower.status.code(), Some(4), "{}", text(&at_follower));
-        let voter = rig.gateways[..3].iter().find(|voter| voter.name != leader.name).expect("another");
+        let voter = rig.gateways[..3].iter().find(|voter| voter.name != leader.name).expect("another voter");
         let at_voter = run_fleet_command(voter, &propose("18", &[])).await;
         assert!(text(&at_voter).contains(&format!("ask {}", leader.name)), "{}", text(&at_voter));
         let invalid =
@@ -507,7 +507,7 @@
                 1 => Action::Link { from: vec![leader.name.clone()], to: names(&["gateways"]), fault: cut },
                 // One link is cut in one direction.
                 2 => {
-                    let to = rig.gateways[..5].iter().find(|g| g.name != leader.name).expect("another");
+                    let to = rig.gateways[..5].iter().find(|g| g.name != leader.name).expect("another voter");
                     Action::Link { from: vec![leader.name.clone()], to: vec![to.name.clone()], fault: cut }
                 }
                 // Datagrams are lost, and messages of the replication take longer than an election.
@@ -540,7 +540,7 @@
         let before = commit_change(&rig, "1").await;
         wait_for_index(&rig, before).await;
         let leader = wait_for_leader(&rig).await;
-        let victim = rig.gateways[..3].iter().find(|g| g.name != leader.name).expect("another").clone();
+        let victim = rig.gateways[..3].iter().find(|g| g.name != leader.name).expect("another voter").clone();
         let store = rig.directory.join(format!("{}-plan", victim.name)).join("plan.redb");
         // A second process fails to start with a plan directory that is in use.
         let second = gateway_named(&rig, "g5");
@@ -572,7 +572,7 @@
         // The gateway still follows the document.
         let after = commit_change(&rig, "2").await;
         wait_for_index(&rig, after).await;
-        replace_voter(&rig, &victim).await;
+        readmit_voter(&rig, &victim).await;
         let add_voter = [
             "voters",
             "add",
@@ -583,9 +583,11 @@
         ];
         let add_voter = [&add_voter[..], &["--reason", "a test"]].concat();
         assert!(run_at_leader(&rig, &add_voter).await.status.success(), "two of four voters are no majority");
-        // The replaced voter counts: with one of the other first voters killed, the majority of three of four needs it.
-        let killed =
-            rig.gateways[..3].iter().find(|g| g.name != victim.name && g.name != "g0").expect("another");
+        // The readmitted voter counts: with one of the other first voters killed, the majority of three of four needs it.
+        let killed = rig.gateways[..3]
+            .iter()
+            .find(|g| g.name != victim.name && g.name != "g0")
+            .expect("another voter");
         apply(&rig, Action::Kill(vec![killed.name.clone()])).await;
         let last = commit_change(&rig, "3").await;
         wait_for_index(&rig, last).await;
@@ -601,7 +603,7 @@
         let first = commit_change(&rig, "1").await;
         wait_for_index(&rig, first).await;
         let leader = wait_for_leader(&rig).await;
-        let victim = rig.gateways[..3].iter().find(|g| g.name != leader.name).expect("another").clone();
+        let victim = rig.gateways[..3].iter().find(|g| g.name != leader.name).expect("another voter").clone();
         let store = rig.directory.join(format!("{}-plan", victim.name)).join("plan.redb");
         apply(&rig, Action::Kill(vec![victim.name.clone()])).await;
         let older = std::fs::read(&store).expect("the store exists");
@@ -620,11 +622,11 @@
         // A second voter gets a full disk, simulated by a limit on the size of its files.
         let second = rig.gateways[..3].iter().find(|g| g.name != victim.name && g.name != leader.name);
         let second = second.expect("the third").clone();
-        // The first voter is replaced by a new one first, so that a majority remains.
+        // Before that, the first voter is readmitted with a new store, so that a majority remains.
         apply(&rig, Action::Kill(vec![victim.name.clone()])).await;
         std::fs::remove_file(&store).expect("the store exists");
         apply(&rig, Action::Start(vec![victim.name.clone()])).await;
-        replace_voter(&rig, &victim).await;
+        readmit_voter(&rig, &victim).await;
         apply(&rig, Action::Kill(vec![second.name.clone()])).await;
         let metadata =
             std::fs::metadata(rig.directory.join(format!("{}-plan", second.name)).join("plan.redb"));
--- a/crates/lanespan/tests/races.rs
+++ b/crates/lanespan/tests/races.rs
@@ -9,7 +9,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Returns a listener with a full accept queue, so that further connections are established only once it accepts.
+/// Returns a listener with a full accept queue, so that further connections are established only once it accepts, and
+/// the connections that fill the queue.
 fn full_listener() -> (TcpListener, Vec<TcpStream>) {
     const CONNECT_TIMEOUT: Duration = Duration::from_millis(50);
     const MAX_CONNECTIONS: usize = 10_000;
--- a/crates/lanespan/tests/relay.rs
+++ b/crates/lanespan/tests/relay.rs
@@ -233,7 +233,7 @@
     let mut first = send_request(0);
     std::fs::write(&path, with(r#"{"hold_kb":0}"#)).expect("the file is written");
     node.signal("HUP");
-    let line = node.wait_for_line("the old one stays");
+    let line = node.wait_for_line("the previous one stays in effect");
     assert!(line.contains("streaming.hold_kb: expected a whole number"), "{line}");
     let mut second = send_request(1);
     discovery.publish(42, false, &member("s-1", backend.address, "draining"));
--- a/crates/lanespan/tests/sites.rs
+++ b/crates/lanespan/tests/sites.rs
@@ -1,5 +1,6 @@
 //! Runs a gateway with the settings of each deployment in deploy/sites and the names of that deployment: headers,
-//! paths, fields and states are read from the file beside its settings, and the stubs accept no others.
+//! paths, fields and states are read from the file beside its settings, and the stubs of discovery and the counter
+//! accept no others.
 #[path = "sockets/harness.rs"]
 mod harness;
 
--- a/crates/lanespan/tests/sockets/bodies.rs
+++ b/crates/lanespan/tests/sockets/bodies.rs
@@ -108,13 +108,13 @@
     pub finished: bool,
 }
 
-/// A backend whose handler reads the body and writes the response itself.
+/// A backend whose handler reads the body and writes the response on the connection itself.
 pub struct StreamingBackend {
     pub address: SocketAddr,
     pub seen: Arc<Mutex<Vec<RecordedRequest>>>,
 }
 
-/// Handles a request whose head has been read; it may read the body, and it responds.
+/// Handles a request whose head has been read; it may read the body and write a response.
 pub type Handler = dyn Fn(&mut BufReader<TcpStream>, &[String], usize) -> Option<Digest> + Send + Sync;
 
 impl StreamingBackend {
--- a/crates/lanespan/tests/sockets/harness.rs
+++ b/crates/lanespan/tests/sockets/harness.rs
@@ -17,7 +17,7 @@
 /// A running gateway process. Dropping it kills the process.
 pub struct Node {
     pub child: Child,
-    /// The first address in the log: the admin interface where there is one, else the request listener.
+    /// The first address in the log: that of the fleet, else of the admin interface, else of the request listener.
     pub address: SocketAddr,
     startup_log: String,
     log: Arc<(Mutex<Vec<String>>, Condvar)>,
--- a/crates/lanespan/tests/sockets/main.rs
+++ b/crates/lanespan/tests/sockets/main.rs
@@ -250,7 +250,7 @@
     silent.wait_for("a fetch of the list", |log| !log.requests.is_empty());
     let health = "GET /_health HTTP/1.1\r\nHost: h\r\n\r\n";
     assert_eq!(empty.client().exchange(health).status(), 503);
-    // While discovery does not respond, the gateway falls back to the list in its configuration.
+    // While discovery does not respond, the gateway falls back to the list in its configuration after a short wait.
     let backend = Stub::start(|_| http("200 OK", "known"));
     let known = endpoint_list(7, true, &member("s-1", backend.address, "ready"));
     let config = config(silent.address, counter.address);
@@ -337,7 +337,7 @@
     node.wait_for_line("stopping");
     node.signal("TERM");
     node.signal("HUP");
-    node.wait_for_line("configuration read again");
+    node.wait_for_line("configuration reloaded");
     *released.0.lock().expect("unpoisoned lock") = true;
     released.1.notify_all();
     let response = client.read_response().expect("a response");
@@ -509,13 +509,13 @@
     let (one, other, _discovery, _counter, node, config, path) = gateway_with_two_idle_connections();
     let before = (opened_and_closed(&one), opened_and_closed(&other));
     node.signal("HUP");
-    node.wait_for_line("configuration read again");
+    node.wait_for_line("configuration reloaded");
     assert_eq!((opened_and_closed(&one), opened_and_closed(&other)), before, "all connections are kept");
     // Invalid limits change nothing, and the log names them.
     std::fs::write(&path, with_pool(&config, r#"{"idle_backends":1,"wait_ms":0}"#))
         .expect("the file is written");
     node.signal("HUP");
-    let line = node.wait_for_line("configuration not usable; the old one stays");
+    let line = node.wait_for_line("configuration not usable; the previous one stays in effect");
     assert!(line.contains("pool.wait_ms: expected a whole number from 1 to 3600000, found 0"), "{line}");
     assert_eq!((opened_and_closed(&one), opened_and_closed(&other)), before, "all connections are kept");
     std::fs::write(&path, with_pool(&config, r#"{"idle_backends":1}"#)).expect("the file is written");
--- a/crates/lanespan/tests/sockets/stubs.rs
+++ b/crates/lanespan/tests/sockets/stubs.rs
@@ -161,7 +161,7 @@
 }
 
 impl Discovery {
-    /// Starts with revision 41, a complete list of these members.
+    /// Starts discovery with revision 41, a complete list of these members.
     pub fn start(members: &str) -> Discovery {
         let response = Arc::new((Mutex::new((41, endpoint_list(41, true, members))), Condvar::new()));
         let shared = response.clone();
--- a/crates/lanespan/tests/upload.rs
+++ b/crates/lanespan/tests/upload.rs
@@ -129,7 +129,7 @@
     client.send(&head);
     assert_eq!(client.read_response().expect("a response").status(), 400);
     assert!(at_end(&mut client), "the gateway sends nothing more");
-    // A reset would make the second write fail, and could discard the response before the client reads it.
+    // A reset would make the second of these writes fail, and could discard the response before the client reads it.
     (0..16).for_each(|_| client.write(&[b'x'; 4096]).expect("the gateway still reads"));
 }
 
@@ -190,13 +190,13 @@
     assert!(backend.seen().iter().all(|seen| !seen.head.iter().any(|line| line.starts_with("x-trailer"))));
 }
 
-/// Long enough for a gateway to notice that a backend closed its connection, beside other tests.
-const BREAK_NOTICED: Duration = Duration::from_millis(500);
+/// The time within which a gateway notices that a backend closed its connection, also while other tests run.
+const CLOSE_DETECTION_TIME: Duration = Duration::from_millis(500);
 
 #[test]
 fn a_buffered_upload_is_retried_if_its_class_allows_or_its_last_byte_was_not_sent() {
     // The backend breaks off the first attempt, before or after the last byte of the body.
-    for (class, after, status, attempts) in
+    for (class, after_last_byte, status, attempts) in
         [("buy", true, 200, 2), ("once", true, 502, 1), ("once", false, 200, 2)]
     {
         let (closed, first_closed) = channel();
@@ -205,7 +205,7 @@
             if number > 0 {
                 return healthy(stream, head, number);
             }
-            let _ = read_digest(stream, if after { 40_000 } else { 20_000 });
+            let _ = read_digest(stream, if after_last_byte { 40_000 } else { 20_000 });
             let _ = stream.get_ref().shutdown(Shutdown::Both);
             closed.lock().expect("unpoisoned lock").send(()).expect("the test waits");
             None
@@ -213,17 +213,19 @@
         let (_discovery, _counter, node) = gateway(STREAMING_SECTION, 64, backend.address);
         let mut client = node.client();
         client.send(&upload_head(class, 4000, "Content-Length: 40000"));
-        client.write(&body_part(0, if after { 40_000 } else { 20_000 })).expect("the gateway reads");
+        client
+            .write(&body_part(0, if after_last_byte { 40_000 } else { 20_000 }))
+            .expect("the gateway reads");
         first_closed.recv_timeout(TEST_TIMEOUT).expect("the backend closes");
-        if !after {
+        if !after_last_byte {
             // The rest must not reach the broken connection before the gateway notices the break: once its last byte is
             // written, the attempt may have run.
-            std::thread::sleep(BREAK_NOTICED);
+            std::thread::sleep(CLOSE_DETECTION_TIME);
             client.write(&body_part(20_000, 20_000)).expect("the gateway reads");
         }
-        assert_eq!(client.read_response().expect("a response").status(), status, "{class} {after}");
+        assert_eq!(client.read_response().expect("a response").status(), status, "{class} {after_last_byte}");
         let seen = backend.seen();
-        assert_eq!(seen.len(), attempts, "{class} {after}");
+        assert_eq!(seen.len(), attempts, "{class} {after_last_byte}");
         assert_eq!(backend.last_body(), (status == 200).then(|| Digest::of(40_000)));
     }
 }
