--- a/crates/fleet/src/facts.rs
+++ b/crates/fleet/src/facts.rs
@@ -9,7 +9,7 @@
 /// The maximum length of a fact's value, in bytes.
 pub const MAX_VALUE_BYTES: usize = 64;
 
-/// The gateway's number among all gateways, counted from 0, as configured in its settings.
+/// The gateway's number: its index among all gateways, from 0, as configured in its settings.
 pub const GATEWAY_NUMBER: &str = "number";
 /// Set to [`YES`] once the gateway has an endpoint list.
 pub const READY: &str = "ready";
--- a/crates/fleet/src/membership.rs
+++ b/crates/fleet/src/membership.rs
@@ -86,7 +86,7 @@
     pub leaving: bool,
 }
 
-/// The membership state machine of one gateway. All times passed to it are on the system clock.
+/// The membership state machine of one gateway. All times passed to it are in system time (see `clock`).
 pub struct Membership {
     config: Config,
     cluster_hash: u64,
@@ -323,7 +323,7 @@
         self.members.disagreeing(self.clock.now(), self.config.probe_period)
     }
 
-    /// Returns the counters since the start.
+    /// Returns the counters since startup.
     pub fn counters(&self) -> Counters {
         Counters { stalls: self.clock.stalls(), ..self.counters }
     }
--- a/crates/fleet/src/membership/clock.rs
+++ b/crates/fleet/src/membership/clock.rs
@@ -3,6 +3,8 @@
 //! After a stall all timers are due at once. If they all fired, this gateway would declare every other member dead
 //! before reading the answers that are already waiting. Therefore process time stops when a timer is overdue by more
 //! than half a probe period.
+//!
+//! System time is the time that callers pass in, from a monotonic clock. It includes the stalls.
 
 use crate::time::Timestamp;
 use std::time::Duration;
--- a/crates/fleet/src/membership/config.rs
+++ b/crates/fleet/src/membership/config.rs
@@ -26,7 +26,7 @@
 /// The configuration of membership.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// The name of the fleet. Datagrams of other clusters are dropped.
+    /// The name of the fleet. Datagrams of other fleets are dropped.
     pub cluster: String,
     /// The interval at which each member probes one other member.
     pub probe_period: Duration,
@@ -36,7 +36,7 @@
     pub max_members: usize,
     /// The addresses through which the fleet is joined. Those without an active member are contacted periodically.
     pub seed_addresses: Vec<SocketAddr>,
-    /// Maps announced addresses to the addresses at which this gateway reaches those members, where they differ.
+    /// Maps advertised addresses to the addresses at which this gateway reaches those members, where they differ.
     pub address_map: BTreeMap<SocketAddr, SocketAddr>,
 }
 
--- a/crates/fleet/src/membership/counters.rs
+++ b/crates/fleet/src/membership/counters.rs
@@ -8,8 +8,8 @@
     /// The datagram does not have the fleet's format, or its contents are invalid.
     #[error("the datagram is malformed")]
     Malformed,
-    /// The datagram was sent by a member of another cluster.
-    #[error("the datagram belongs to another cluster")]
+    /// The datagram was sent by a member of another fleet.
+    #[error("the datagram belongs to another fleet")]
     OtherCluster,
     /// This build does not support the datagram's protocol version.
     #[error("the datagram's protocol version is not supported")]
@@ -79,7 +79,7 @@
     }
 }
 
-/// Counts since the start.
+/// Counts since startup.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
     /// Datagrams received, including those that were dropped.
--- a/crates/fleet/src/membership/document.rs
+++ b/crates/fleet/src/membership/document.rs
@@ -14,7 +14,7 @@
     version: DocumentVersion,
     /// The latest known heartbeat; later heartbeats have higher numbers.
     leader_heartbeat: u64,
-    /// When `leader_heartbeat` was received, on the system clock, because leases expire during a stall as well.
+    /// When `leader_heartbeat` was received, in system time, because leases expire during a stall as well.
     heartbeat_received_at: Timestamp,
     next_rumour_at: Timestamp,
 }
--- a/crates/fleet/src/node.rs
+++ b/crates/fleet/src/node.rs
@@ -13,7 +13,7 @@
 pub struct Node {
     /// The gateway's name, which stays the same after a restart.
     pub name: String,
-    /// The announced address. A gateway's address map can replace it by the one at which that gateway reaches it.
+    /// The advertised address. A gateway's address map can replace it by the one at which that gateway reaches it.
     pub address: SocketAddr,
     /// When this incarnation started, in microseconds of Unix time, or one more than the highest incarnation known to
     /// other members. Of two identities with the same name and address, the one with the higher incarnation is later.
--- a/crates/fleet/src/quota_divisor.rs
+++ b/crates/fleet/src/quota_divisor.rs
@@ -1,4 +1,4 @@
-//! Computes the number by which a customer's quota is divided among gateways while the shared counter does not answer.
+//! Computes the number by which a customer's quota is divided among gateways while the shared counter does not reply.
 //!
 //! A customer's requests arrive at a set of S gateways. With n of them active, including this one, a gateway uses 1/n
 //! of the quota if 2n > S, else 1/S. Whatever each gateway knows of the others, the shares sum to less than
@@ -13,7 +13,7 @@
 /// departure hold, so that quota shares grow late. A gateway that returns counts at once, so that they shrink at once.
 #[derive(Debug)]
 pub struct ActiveGateways {
-    /// This gateway's number.
+    /// This gateway's number, which is its index among all gateways, from 0.
     local: u32,
     /// The number of all gateways, active or not.
     gateway_count: u32,
--- a/crates/fleet/src/replication/document.rs
+++ b/crates/fleet/src/replication/document.rs
@@ -27,7 +27,7 @@
 pub const MAX_ENTRY_BYTES: usize = 8 << 10;
 /// The maximum number of items in all sections together.
 const MAX_ITEMS: usize = 1_024;
-/// The number of latest proposals that are recognised as duplicates when they are sent again.
+/// The number of latest proposals that are recognized as duplicates when they are sent again.
 const MAX_RECENT_PROPOSALS: usize = 1_024;
 
 /// The position of an entry in the voters' log. Positions order by term, then index, so that the position of a
--- a/crates/fleet/src/replication/voter.rs
+++ b/crates/fleet/src/replication/voter.rs
@@ -23,7 +23,8 @@
 /// The number of ticks between two heartbeats of a leader.
 const HEARTBEAT_TICKS: usize = 2;
 /// The upper bound of the election timeout that the Raft library draws. The library's random generator can't be seeded.
-/// With a range this wide its draw can be recognised, and is replaced by one of this voter's own generator.
+/// With a range this wide, a timeout drawn by the library is recognized by its length, and is replaced by one drawn by
+/// this voter's own generator.
 const LIBRARY_ELECTION_RANGE_TICKS: usize = 1 << 40;
 /// The maximum size of the entries in one message.
 const MAX_MESSAGE_BYTES: u64 = 256 << 10;
--- a/crates/fleet/src/wire.rs
+++ b/crates/fleet/src/wire.rs
@@ -8,7 +8,7 @@
 //! | 0..2 | "LF" |
 //! | 2 | version |
 //! | 3 | kind |
-//! | 4..12 | the hash of the cluster's name |
+//! | 4..12 | the hash of the fleet's name |
 //! | 12..20 | the key of the sender's identity |
 //! | 20..28 | the digest of the sender's view |
 //! | 28..52 | the version of the fleet document that the sender acts on: document, index, digest |
@@ -65,8 +65,8 @@
     /// The datagram does not start with the magic bytes.
     #[error("the datagram does not start with the magic bytes")]
     Magic,
-    /// The datagram was sent by a member of another cluster.
-    #[error("the datagram belongs to another cluster")]
+    /// The datagram was sent by a member of another fleet.
+    #[error("the datagram belongs to another fleet")]
     OtherCluster,
     /// This build does not support the datagram's protocol version.
     #[error("protocol version {0} is not supported")]
@@ -95,7 +95,7 @@
 pub struct Envelope {
     /// The kind of the payload.
     pub kind: Kind,
-    /// The hash of the cluster's name.
+    /// The hash of the fleet's name.
     pub cluster: u64,
     /// The key of the sender's identity.
     pub sender: u64,
@@ -116,7 +116,7 @@
     pub facts: Option<Facts>,
 }
 
-/// Returns the hash of a cluster's name.
+/// Returns the hash of a fleet's name.
 pub fn cluster_hash(name: &str) -> u64 {
     xxh3_64(name.as_bytes())
 }
@@ -154,7 +154,7 @@
         bytes
     }
 
-    /// Decodes the envelope of a datagram of this cluster, and returns it with the payload.
+    /// Decodes the envelope of a datagram of this fleet, and returns it with the payload.
     pub fn decode(bytes: &[u8], own_cluster: u64) -> Result<(Envelope, &[u8]), DecodeError> {
         if bytes.len() < ENVELOPE_BYTES || bytes.len() > MAX_DATAGRAM_BYTES {
             return Err(DecodeError::Length(bytes.len()));
--- a/crates/fleet/tests/membership_fixtures.rs
+++ b/crates/fleet/tests/membership_fixtures.rs
@@ -2,7 +2,7 @@
 //! the gateways of a seeded network, and the JSON of their views.
 //!
 //! `LANESPAN_WRITE_FIXTURES=1 cargo test -p lanespan-fleet --test membership_fixtures` rewrites the fixtures. A
-//! difference in them is a change of the protocol or of the behaviour.
+//! difference in them is a change of the protocol or of the behavior.
 
 use lanespan_fleet::facts::Facts;
 use lanespan_fleet::membership::{Config, NameConflict, Output};
--- a/crates/gateway/src/config/site_check.rs
+++ b/crates/gateway/src/config/site_check.rs
@@ -9,7 +9,7 @@
 const MAX_LIST_ITEMS: usize = 10_000;
 const EFFECTS: [&str; 3] = ["pure", "token", "side_effect"];
 const KEY_SCOPES: [&str; 3] = ["all", "zone", "cell"];
-/// The effect that replaces an unknown one. Requests with this effect are never repeated.
+/// The effect that replaces an unknown one. Requests with this effect must not run twice.
 const FALLBACK_EFFECT: &str = "side_effect";
 
 /// The record of the values that were replaced because they are invalid or unknown.
@@ -32,7 +32,7 @@
 
 /// Reports missing and invalid values and replaces them with valid ones, so that the rest can still be read. The
 /// platform's settings may be of a later version: an unknown effect or scope in them is not a problem, but requests of
-/// its class are never repeated.
+/// its class must not run twice.
 pub(super) fn check_settings(
     values: &mut BTreeMap<String, String>,
     problems: &mut Problems,
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Treats a class as one whose requests are never repeated if its effect, or the scope of its keys, is unknown.
+    /// Treats a class as one whose requests must not run twice if its effect, or the scope of its keys, is unknown.
     fn replace_unknown_effect(&mut self, class: usize) {
         let effect = format!("classes.{class}.effect");
         let scope = format!("classes.{class}.key_scope");
--- a/crates/gateway/src/driver.rs
+++ b/crates/gateway/src/driver.rs
@@ -39,7 +39,7 @@
 const MAX_PENDING_EVENTS: usize = 1024;
 /// How often the pool's idle connections are checked.
 const RETIRE_INTERVAL: Duration = Duration::from_secs(1);
-/// How often connections to backends are opened in advance.
+/// How often connections to backends are opened ahead of demand.
 const PRECONNECT_INTERVAL: Duration = Duration::from_millis(250);
 /// Lower bound of the tick. A shorter one would keep a core busy running the engine without any benefit.
 const MIN_TICK: Duration = Duration::from_millis(1);
@@ -218,7 +218,7 @@
         self.timers.next_at().map(|fires_at| self.clock.instant(fires_at).max(earliest))
     }
 
-    /// Opens connections in advance to backends to which the engine may forward requests.
+    /// Opens connections ahead of demand to backends to which the engine may forward requests.
     fn preconnect(&mut self) {
         let now = self.clock.now();
         let wanting = self.endpoints.backends().filter(|(_, backend)| self.pool.wants_preconnect(backend));
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -132,7 +132,7 @@
         self.state.borrow().gauges()
     }
 
-    /// Returns the totals since the start.
+    /// Returns the totals since startup.
     pub fn counters(&self) -> Counters {
         self.state.borrow().counters()
     }
--- a/crates/gateway/src/pool/state.rs
+++ b/crates/gateway/src/pool/state.rs
@@ -73,7 +73,7 @@
         self.gauges
     }
 
-    /// Returns the totals since the start.
+    /// Returns the totals since startup.
     pub fn counters(&self) -> Counters {
         self.counters
     }
--- a/crates/gateway/src/pool/state/checkout.rs
+++ b/crates/gateway/src/pool/state/checkout.rs
@@ -100,7 +100,7 @@
         Some(connection)
     }
 
-    /// Removes a waiting request that gave up or got a connection.
+    /// Removes a waiting request that stopped waiting or got a connection.
     pub fn remove_waiter(&mut self, id: IncarnationId, waiter: WaiterId) {
         let Some(backend) = self.backends.get_mut(&id) else { return };
         if let Some(index) = backend.waiting.iter().position(|&waiting| waiting == waiter) {
--- a/crates/gateway/src/pool/state/dial.rs
+++ b/crates/gateway/src/pool/state/dial.rs
@@ -34,7 +34,7 @@
     pub(super) fn begin_dial(&mut self, id: IncarnationId) -> bool {
         let Some(backend) = self.backends.get(&id) else { return false };
         if backend.is_unresponsive() && backend.is_at_limit() && !backend.idle.is_empty() {
-            // An unusable idle connection is closed in favour of one that may prove that the backend is reachable.
+            // An unusable idle connection is closed in favor of one that may prove that the backend is reachable.
             self.change_idle(id, |idle| idle.close_first_released());
             self.counters.evicted += 1;
         }
--- a/crates/gateway/src/pool/stats.rs
+++ b/crates/gateway/src/pool/stats.rs
@@ -1,6 +1,6 @@
 //! Counters and gauges of the pool.
 
-/// Totals since the start.
+/// Totals since startup.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub struct Counters {
     /// Connections granted to requests.
--- a/crates/gateway/src/relay/limits.rs
+++ b/crates/gateway/src/relay/limits.rs
@@ -42,7 +42,7 @@
         self.memory_bytes - self.memory.available_permits()
     }
 
-    /// Applies new settings. The memory limit stays as it was at the start.
+    /// Applies new settings. The memory limit remains as it was at startup.
     pub fn configure(&self, settings: Option<StreamSettings>) {
         self.settings.set(settings);
         self.last_settings.set(settings.or(self.last_settings.get()));
@@ -50,7 +50,7 @@
 
     /// Reserves memory for a stream. Waits until other streams have released enough.
     pub async fn reserve(&self, bytes: usize) -> Option<OwnedSemaphorePermit> {
-        // A new configuration may require more than the limit set at the start. A stream then reserves all of it.
+        // A new configuration may require more than the limit set at startup. A stream then reserves all of it.
         let bytes = bytes.min(self.memory_bytes);
         // The semaphore is never closed.
         self.memory.clone().acquire_many_owned(bytes as u32).await.ok()
--- a/crates/gateway/src/replication/local_replica.rs
+++ b/crates/gateway/src/replication/local_replica.rs
@@ -15,7 +15,7 @@
 #[derive(Default)]
 pub struct LocalReplica {
     replica: Replica,
-    /// The number of entries observed since the start.
+    /// The number of entries observed since startup.
     entries_seen: u64,
     /// The gateways whose document or digest differed, with their indexes.
     divergences: BTreeSet<(String, u64)>,
@@ -41,12 +41,12 @@
         self.replica.version()
     }
 
-    /// Returns the number of entries observed since the start.
+    /// Returns the number of entries observed since startup.
     pub fn entries_seen(&self) -> u64 {
         self.entries_seen
     }
 
-    /// Returns the number of divergences found since the start.
+    /// Returns the number of divergences found since startup.
     pub fn divergence_count(&self) -> usize {
         self.divergences.len()
     }
--- a/crates/gateway/src/replication/peers.rs
+++ b/crates/gateway/src/replication/peers.rs
@@ -60,7 +60,7 @@
 }
 
 impl PeerConnection {
-    /// Creates a connection to the gateway at this address, without dialing it.
+    /// Creates a connection to the gateway at this address, without dialling it.
     pub fn new(address: SocketAddr) -> PeerConnection {
         PeerConnection { address, sender: None }
     }
--- a/crates/gateway/src/replication/status.rs
+++ b/crates/gateway/src/replication/status.rs
@@ -122,9 +122,9 @@
     pub is_leader: bool,
     /// The time since the last heartbeat of a leader was received.
     pub leader_heartbeat_age_seconds: f64,
-    /// The number of entries observed since the start.
+    /// The number of entries observed since startup.
     pub entries_seen: u64,
-    /// The number of divergences from other gateways found since the start.
+    /// The number of divergences from other gateways found since startup.
     pub divergences: usize,
 }
 
--- a/crates/gateway/src/server/table.rs
+++ b/crates/gateway/src/server/table.rs
@@ -1,4 +1,4 @@
-//! The bounded table of client connections: enforces timeouts and evicts connections in favour of new ones.
+//! The bounded table of client connections: enforces timeouts and evicts connections in favor of new ones.
 
 use super::connection::{ClientConnection, Phase};
 use crate::relay::StreamLimits;
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,4 +1,4 @@
-//! `lanespan-lab`: runs experiments with fleets of gateways and measures their behaviour.
+//! `lanespan-lab`: runs experiments with fleets of gateways and measures their behavior.
 
 use clap::{Parser, Subcommand};
 use lanespan_lab::defective_gateway::DefectiveGatewayError;
--- a/crates/lanespan/tests/plan.rs
+++ b/crates/lanespan/tests/plan.rs
@@ -583,7 +583,8 @@
         ];
         let add_voter = [&add_voter[..], &["--reason", "a test"]].concat();
         assert!(run_at_leader(&rig, &add_voter).await.status.success(), "two of four voters are no majority");
-        // The readmitted voter counts: with one of the other first voters killed, the majority of three of four needs it.
+        // The readmitted voter counts: with one of the other initial voters killed, the majority of three of four
+        // needs it.
         let killed = rig.gateways[..3]
             .iter()
             .find(|g| g.name != victim.name && g.name != "g0")
--- a/crates/policy/src/action.rs
+++ b/crates/policy/src/action.rs
@@ -16,7 +16,7 @@
         /// The latest time at which the attempt may start; after it, the attempt must not be sent.
         begin_by: Micros,
     },
-    /// Answer the request as rejected. This promises the client that repeating the request is harmless.
+    /// Answer the request as rejected. This promises the client that retrying the request is harmless.
     Reject {
         /// The request.
         request: RequestId,
--- a/crates/policy/src/attempt_rules.rs
+++ b/crates/policy/src/attempt_rules.rs
@@ -84,14 +84,14 @@
     }
 }
 
-/// Returns whether the request may be answered as rejected, which promises that repeating it is harmless.
+/// Returns whether the request may be answered as rejected, which promises that retrying it is harmless.
 pub(crate) fn may_reject(request: &Request, class: &RequestClass) -> bool {
-    let repeat_is_harmless = match class.idempotency {
+    let retry_is_harmless = match class.idempotency {
         Idempotency::Idempotent => true,
         Idempotency::Keyed => {
             !request.may_have_effect() || class.deduplication_scope == DeduplicationScope::AllBackends
         }
         Idempotency::NonIdempotent => !request.may_have_effect(),
     };
-    repeat_is_harmless && !request.response_started
+    retry_is_harmless && !request.response_started
 }
--- a/crates/policy/src/attempt_times.rs
+++ b/crates/policy/src/attempt_times.rs
@@ -34,7 +34,7 @@
     }
 }
 
-/// Returns whether an attempt that may have run can be repeated at any backend. This excludes streams, for which
+/// Returns whether an attempt that may have run can be retried at any backend. This excludes streams, for which
 /// the response can't be chosen among several attempts.
 fn can_retry_anywhere(class: &RequestClass) -> bool {
     let any_backend = match class.idempotency {
@@ -45,7 +45,7 @@
     any_backend && !class.streaming
 }
 
-/// Returns the latest time at which an attempt may start. Establishing a connection may take long, and a repeat with an
+/// Returns the latest time at which an attempt may start. Establishing a connection may take long, and a retry with an
 /// idempotency key must start while the backends still remember the key from the first attempt.
 pub(crate) fn begin_by(request: &Request, class: &RequestClass, limits: AttemptLimits) -> Micros {
     let deadline = request.arrival.deadline;
--- a/crates/policy/src/balancer.rs
+++ b/crates/policy/src/balancer.rs
@@ -33,10 +33,10 @@
 use slow_start::SlowStartSettings;
 use std::collections::BTreeMap;
 
-/// An answer is late if its latency plus a margin of [`LATE_MARGIN_LATENCIES`] exceeds this share of the latency
+/// A response is late if its latency plus a margin of [`LATE_MARGIN_LATENCIES`] exceeds this share of the latency
 /// objective.
 const LATE_OBJECTIVE_SHARE: f64 = 0.85;
-/// Safety margin added to the latency of an answer, as a multiple of the backend's average latency.
+/// Safety margin added to the latency of a response, as a multiple of the backend's average latency.
 const LATE_MARGIN_LATENCIES: u64 = 2;
 
 /// The settings that the balancer uses.
--- a/crates/policy/src/balancer/backend.rs
+++ b/crates/policy/src/balancer/backend.rs
@@ -20,7 +20,7 @@
     pub(crate) in_flight: f64,
     /// Active long transfers, whose duration depends on their clients.
     pub(crate) streams: f64,
-    /// Average latency of successful answers, in microseconds; 0 if unknown.
+    /// Average latency of successful responses, in microseconds; 0 if unknown.
     pub(crate) latency: f64,
     pub(crate) concurrency_limit: ConcurrencyLimit,
     pub(crate) outlier: OutlierState,
--- a/crates/policy/src/balancer/backends_health.rs
+++ b/crates/policy/src/balancer/backends_health.rs
@@ -5,7 +5,7 @@
 
 /// Below this share of failed or late attempts, failures are attributed to individual backends.
 const HEALTHY_FAILURE_SHARE: f64 = 0.15;
-/// From this reported load on, late answers are treated as overload.
+/// From this reported load on, late responses are treated as overload.
 const BUSY_LOAD: f64 = 0.85;
 /// Without load reports, there is spare capacity only while the average latency is below this share of the latency
 /// objective.
@@ -14,7 +14,7 @@
 /// Averages over the attempts at all backends.
 #[derive(Debug, Default)]
 pub(super) struct BackendsHealth {
-    /// Average latency of successful answers, in microseconds; 0 if unknown.
+    /// Average latency of successful responses, in microseconds; 0 if unknown.
     latency: f64,
     /// Smoothed share of attempts that failed or exceeded the latency objective.
     failure_share: f64,
--- a/crates/policy/src/balancer/concurrency_limit.rs
+++ b/crates/policy/src/balancer/concurrency_limit.rs
@@ -8,9 +8,9 @@
 const MIN_LIMIT: f64 = 0.1;
 /// Factor applied to the limit on overload.
 const DECREASE_FACTOR: f64 = 0.7;
-/// Added to the limit by a fast answer, in attempts.
-const INCREASE_PER_FAST_ANSWER: f64 = 0.03;
-/// An answer within this share of the latency objective is fast.
+/// Added to the limit by a fast response, in attempts.
+const INCREASE_PER_FAST_RESPONSE: f64 = 0.03;
+/// A response within this share of the latency objective is fast.
 const FAST_OBJECTIVE_SHARE: f64 = 0.25;
 
 /// Concurrency limit of one backend, before scaling to this gateway's share.
@@ -44,10 +44,10 @@
         self.0 = (self.0 * DECREASE_FACTOR).max(MIN_LIMIT);
     }
 
-    /// Raises the limit after a fast answer if the limit was in use, since the backend could handle more.
+    /// Raises the limit after a fast response if the limit was in use, since the backend could handle more.
     pub(super) fn increase_if_fast(&mut self, in_use: bool, latency: Micros, objective: Micros) {
         if in_use && latency < objective.mul_f64(FAST_OBJECTIVE_SHARE) {
-            self.0 += INCREASE_PER_FAST_ANSWER;
+            self.0 += INCREASE_PER_FAST_RESPONSE;
         }
     }
 }
--- a/crates/policy/src/balancer/outlier_detection.rs
+++ b/crates/policy/src/balancer/outlier_detection.rs
@@ -35,7 +35,7 @@
     /// How many times the next ejection time is doubled. The success that ends a trial keeps it; the next success
     /// resets it.
     doublings: u32,
-    /// Whether it was ejected and has not answered with success since. It then gets one attempt at a time.
+    /// Whether it was ejected and no attempt at it has succeeded since. It then gets one attempt at a time.
     awaits_trial: bool,
     /// Time of the first failed connection since the last success.
     unreachable_since: Option<Micros>,
@@ -51,7 +51,7 @@
         now < self.excluded_until
     }
 
-    /// Returns whether the backend was ejected and has not answered with success since.
+    /// Returns whether the backend was ejected and no attempt at it has succeeded since.
     pub(crate) fn awaits_trial(&self) -> bool {
         self.awaits_trial
     }
--- a/crates/policy/src/balancer/slow_start.rs
+++ b/crates/policy/src/balancer/slow_start.rs
@@ -92,7 +92,7 @@
         self.started_at = started_at.or(self.started_at);
     }
 
-    /// Begins slow start after a restart that the endpoint list has not reported yet. A backend that answers again
+    /// Begins slow start after a restart that the endpoint list has not reported yet. A backend that responds again
     /// after its connections failed for longer than [`BASE_EJECTION_TIME`] is treated as cold.
     pub(super) fn start_if_restarted(&mut self, unreachable_since: Option<Micros>, now: Micros) {
         let restarted = unreachable_since.is_some_and(|since| now - since > BASE_EJECTION_TIME);
--- a/crates/policy/src/balancer/subset.rs
+++ b/crates/policy/src/balancer/subset.rs
@@ -12,7 +12,7 @@
 /// better, a smaller one gives results from each backend sooner.
 const BACKENDS_PER_UNIT_RATE: f64 = 1.0;
 /// Attempts that all gateways together may have in flight at one backend before any result is known. It is low because
-/// a limit that must first be decreased causes late answers.
+/// a limit that must first be decreased causes late responses.
 const FLEET_INITIAL_LIMIT: f64 = 6.0;
 /// Lower bound of the number of gateways that share a backend, used as a divisor.
 const MIN_SHARING: f64 = 1e-9;
--- a/crates/policy/src/engine/admission.rs
+++ b/crates/policy/src/engine/admission.rs
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Records the quota window to which an answered call charged its request.
+    /// Records the quota window to which a successful call charged its request.
     fn record_charge(&mut self, call: &CounterCall, reply: CounterReply) {
         if reply == CounterReply::Unavailable {
             return;
--- a/crates/policy/src/engine/completion.rs
+++ b/crates/policy/src/engine/completion.rs
@@ -44,7 +44,7 @@
     /// Withdraws a retry from the budget if the request may be retried after an attempt with this outcome. Returns
     /// whether it did.
     fn try_withdraw_retry(&mut self, id: RequestId, outcome: Outcome) -> bool {
-        // The backend did answer, but there was no memory to relay the response; a retry would hit the same shortage.
+        // The backend did respond, but there was no memory to relay the response; a retry would hit the same shortage.
         if outcome == Outcome::ResponseDropped {
             return false;
         }
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Answers a request as rejected, with a Retry-After where the settings allow one, or as failed if repeating it
+    /// Answers a request as rejected, with a Retry-After where the settings allow one, or as failed if retrying it
     /// might do harm.
     pub(super) fn reject(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
--- a/crates/policy/src/outcome.rs
+++ b/crates/policy/src/outcome.rs
@@ -3,13 +3,13 @@
 /// The outcome of an attempt, a health check or a call to the counter service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The other side answered with success.
+    /// The other side responded with success.
     Success,
-    /// The other side answered with an error; the attempt may have run.
+    /// The other side responded with an error; the attempt may have run.
     ServerError,
     /// The other side rejected the attempt before running it, because it is at capacity.
     Rejected,
-    /// No answer arrived in time; the attempt may have run.
+    /// No response arrived in time; the attempt may have run.
     Timeout,
     /// No connection could be established.
     ConnectFailed,
@@ -19,7 +19,7 @@
     Cancelled,
     /// The attempt was never sent.
     NotSent,
-    /// The attempt ran and was answered with success, but there was no memory to relay the response.
+    /// The attempt ran and succeeded, but there was no memory to relay the response.
     ResponseDropped,
 }
 
--- a/crates/policy/src/quota.rs
+++ b/crates/policy/src/quota.rs
@@ -1,5 +1,5 @@
 //! Quotas: decides whether a request is within its customer's quota, by the count that all gateways share on the
-//! counter service, or by this gateway's local share of the quota if the counter does not answer.
+//! counter service, or by this gateway's local share of the quota if the counter does not reply.
 //!
 //! A request is forwarded *unverified* if it is admitted without a total from the counter.
 //!
--- a/crates/policy/src/quota/circuit_breaker.rs
+++ b/crates/policy/src/quota/circuit_breaker.rs
@@ -59,8 +59,8 @@
         }
     }
 
-    /// Records an answered call. While the breaker is closed, an answer halves the failures instead of clearing them,
-    /// so that a counter which answers only occasionally still opens the breaker.
+    /// Records a successful call. While the breaker is closed, a success halves the failures instead of clearing them,
+    /// so that a counter which replies only occasionally still opens the breaker.
     pub(super) fn record_success(&mut self, is_probe: bool) {
         if is_probe && self.probing {
             *self = CircuitBreaker::default();
--- a/crates/policy/src/quota/counter.rs
+++ b/crates/policy/src/quota/counter.rs
@@ -12,8 +12,8 @@
 
 /// Maximum time for which the counter service keeps a count.
 const MAX_KEY_LIFETIME: Micros = Micros::from_secs(60);
-/// An answer is slow if it takes more than this share of the call's timeout.
-const SLOW_ANSWER_SHARE: f64 = 0.5;
+/// A reply is slow if it takes more than this share of the call's timeout.
+const SLOW_REPLY_SHARE: f64 = 0.5;
 
 /// The kind of a customer's shared count.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -99,16 +99,16 @@
         Some(call)
     }
 
-    fn record_answer(&mut self, call: &CounterCall, now: Micros) {
-        let is_slow = now - call.called_at > self.timeout.mul_f64(SLOW_ANSWER_SHARE);
-        self.query_share.record_answer(now, is_slow, call.is_probe);
+    fn record_success(&mut self, call: &CounterCall, now: Micros) {
+        let is_slow = now - call.called_at > self.timeout.mul_f64(SLOW_REPLY_SHARE);
+        self.query_share.record_success(now, is_slow, call.is_probe);
         self.last_failed_customer = None;
         self.breaker.record_success(call.is_probe);
     }
 
     /// Records a failed call. One hot key can overload its part of the counter, so consecutive failures of the same
     /// customer count only once for this breaker, while the customer's own breaker opens. Only timeouts and rejections
-    /// decrease the query share: a malformed or truncated answer is no evidence of load on the counter.
+    /// decrease the query share: a malformed or truncated reply is no evidence of load on the counter.
     fn record_failure(&mut self, call: &CounterCall, outcome: Outcome, now: Micros) {
         if matches!(outcome, Outcome::Timeout | Outcome::Rejected) {
             self.query_share.record_failure(now, call.called_at);
@@ -255,7 +255,7 @@
         if !below_one_request {
             customer.local_bucket = None;
         }
-        self.counter.record_answer(call, context.now);
+        self.counter.record_success(call, context.now);
         CounterReply::Total(total + pending)
     }
 
--- a/crates/policy/src/quota/customer.rs
+++ b/crates/policy/src/quota/customer.rs
@@ -74,7 +74,7 @@
     pub(super) concurrency: SharedCount,
     /// Number of the customer's concurrent requests at this gateway, if its plan caps them.
     pub(super) concurrent: f64,
-    /// The token bucket that decides while the counter does not answer.
+    /// The token bucket that decides while the counter does not reply.
     pub(super) local_bucket: Option<TokenBucket>,
     /// Units that may be forwarded unverified or beyond the window under a hard ceiling.
     pub(super) ceiling_allowance: TokenBucket,
--- a/crates/policy/src/quota/query_share.rs
+++ b/crates/policy/src/quota/query_share.rs
@@ -6,18 +6,18 @@
 
 /// Factor applied to the share after a failed call.
 const FAILURE_FACTOR: f64 = 0.8;
-/// Factor applied to the share after a slow answer.
+/// Factor applied to the share after a slow reply.
 const SLOW_FACTOR: f64 = 0.97;
-/// Minimum increase of the share for each answer that is not slow.
-const INCREASE_PER_ANSWER: f64 = 0.005;
-/// Minimum increase of the share per second while answers arrive. Without it, a gateway with few calls would take a
+/// Minimum increase of the share for each reply that is not slow.
+const INCREASE_PER_REPLY: f64 = 0.005;
+/// Minimum increase of the share per second while replies arrive. Without it, a gateway with few calls would take a
 /// minute to query for all requests again.
 const INCREASE_PER_SECOND: f64 = 0.08;
-/// Maximum time since the previous answer for which one answer increases the share.
-const MAX_ANSWER_GAP_SECONDS: f64 = 1.0;
+/// Maximum time since the previous reply for which one reply increases the share.
+const MAX_REPLY_GAP_SECONDS: f64 = 1.0;
 /// Lower bound of the share.
 const MIN_SHARE: f64 = 0.05;
-/// Minimum share after the probe of an open circuit breaker was answered.
+/// Minimum share after the probe of an open circuit breaker succeeded.
 const SHARE_AFTER_PROBE: f64 = 0.5;
 /// Largest fleet whose gateways start with a share of 1. In larger fleets the initial share is lower, so that gateways
 /// that start together do not overload the counter.
@@ -46,7 +46,7 @@
 pub(super) struct QueryShare {
     share: f64,
     decreased_at: Micros,
-    answered_at: Micros,
+    replied_at: Micros,
 }
 
 impl QueryShare {
@@ -69,11 +69,11 @@
         }
     }
 
-    /// Records an answered call. `is_probe` states that the call was the probe of an open circuit breaker.
-    pub(super) fn record_answer(&mut self, now: Micros, is_slow: bool, is_probe: bool) {
-        let gap = (now - self.answered_at).as_secs_f64().min(MAX_ANSWER_GAP_SECONDS);
-        self.answered_at = now;
-        let increased = self.share + INCREASE_PER_ANSWER.max(INCREASE_PER_SECOND * gap);
+    /// Records a successful call. `is_probe` states that the call was the probe of an open circuit breaker.
+    pub(super) fn record_success(&mut self, now: Micros, is_slow: bool, is_probe: bool) {
+        let gap = (now - self.replied_at).as_secs_f64().min(MAX_REPLY_GAP_SECONDS);
+        self.replied_at = now;
+        let increased = self.share + INCREASE_PER_REPLY.max(INCREASE_PER_SECOND * gap);
         let share = if is_slow { self.share * SLOW_FACTOR } else { increased };
         let min_share = if is_probe { SHARE_AFTER_PROBE } else { MIN_SHARE };
         self.share = share.min(1.0).max(min_share);
--- a/crates/policy/src/quota/query_share/tests.rs
+++ b/crates/policy/src/quota/query_share/tests.rs
@@ -7,7 +7,7 @@
     (1..=4).for_each(|i| share.record_failure(Micros(i * 100_000), Micros(i * 100_000)));
     assert!(share.get() < 0.25);
     // Four answers a second.
-    (2..=48).for_each(|i| share.record_answer(Micros(i * 250_000), false, false));
+    (2..=48).for_each(|i| share.record_success(Micros(i * 250_000), false, false));
     assert!(share.get() > 0.9, "{}", share.get());
 }
 
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -7,7 +7,7 @@
 pub enum Idempotency {
     /// Running the request again has no further effect.
     Idempotent,
-    /// The request carries an idempotency key: the backends of one deduplication scope drop a repeat within the
+    /// The request carries an idempotency key: the backends of one deduplication scope drop a duplicate within the
     /// deduplication window.
     Keyed,
     /// The request must not run twice.
@@ -28,19 +28,19 @@
 /// A class of requests.
 #[derive(Clone, Debug)]
 pub struct RequestClass {
-    /// Latency objective: an answer within this time counts with the full priority weight.
+    /// Latency objective: a final answer within this time counts with the full priority weight.
     pub latency_objective: Micros,
-    /// How long a client waits for the answer, over all attempts.
+    /// How long a client waits for the final answer, over all attempts.
     pub deadline: Micros,
     /// Weight of a request relative to requests of other classes.
     pub priority_weight: f64,
-    /// Share of the weight with which an answer after the latency objective counts. The engine does not read it.
+    /// Share of the weight with which a final answer after the latency objective counts. The engine does not read it.
     pub late_weight_share: f64,
     /// Whether requests of this class may run more than once.
     pub idempotency: Idempotency,
-    /// Which backends drop repeats of a request that carries an idempotency key.
+    /// Which backends drop duplicates of a request that carries an idempotency key.
     pub deduplication_scope: DeduplicationScope,
-    /// How long these backends drop repeats.
+    /// How long these backends drop duplicates.
     pub deduplication_window: Micros,
     /// Whether the response is a stream.
     pub streaming: bool,
